--- a/stalltiller/daemon/admission_gate.py
+++ b/stalltiller/daemon/admission_gate.py
@@ -1,4 +1,4 @@
-"""The engine's admission gate: measures the load of each shard and applies the ramp after a mass restart."""
+"""The engine's admission gate: measures each shard's load and applies the ramp after a mass restart."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from stalltiller.routing.ports import ClientRequest
 from stalltiller.scheduling import Settings
 
-MIN_OVERLOAD_WINDOW_SECONDS = 1e-3  # guards the division where the window is set to nothing
+MIN_OVERLOAD_WINDOW_SECONDS = 1e-3  # prevents a division by zero if the window is set to 0
 
 
 class RecoveryAdmissionGate:
-    """Admits everything unless a ramp is in progress; never waits."""
+    """Admits all requests unless a ramp is in progress; never blocks."""
 
     def __init__(self, settings: Callable[[], Settings], target_count: Callable[[], int]) -> None:
-        """Create a gate; while a ramp is in progress and `target_count` returns 0, nothing is admitted."""
+        """Create a gate; during a ramp, no request is admitted while `target_count` returns 0."""
         self._settings = settings
         self._target_count = target_count
         self._loop = asyncio.get_running_loop()
@@ -25,10 +25,10 @@
         self.ramp: RecoveryRamp | None = None
 
     def start_ramp(self, shard_rates: dict[int | None, float], fleet_size: int) -> None:
-        """Start a ramp with the rates that this initiator sent to the shards before the restart.
+        """Start a ramp with the rates that were requested of the shards before the restart.
 
-        Other shards start with this member's part of what a target that has just started can bear from a
-        fleet of that size.
+        Other shards start with this member's share of the load that a newly started target can sustain from a
+        fleet of `fleet_size` members.
         """
         settings = self._settings()
         overload_window = max(settings.rules.overload_window, MIN_OVERLOAD_WINDOW_SECONDS)
@@ -42,7 +42,7 @@
         )
 
     def end_ramp(self) -> dict[str, int]:
-        """End the ramp and return what became of the requests during it."""
+        """End the ramp and return the counts of its outcomes."""
         counts = {} if self.ramp is None else self.ramp.counts_by_name()
         self.ramp = None
         return counts
--- a/stalltiller/daemon/peer_state_exchange.py
+++ b/stalltiller/daemon/peer_state_exchange.py
@@ -1,4 +1,4 @@
-"""Sends requests for peers' state, and the answers to those of others, in the fleet's datagrams."""
+"""Requests state from peers and responds to their requests, in the fleet's datagrams."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from stalltiller.recovery.peer_state import PeerState, PeerStateMessage, PeerStateRequest
 from stalltiller.recovery.peer_state_codec import MalformedPeerStateError, decode_message, encode_message
 
-REQUEST_INTERVAL_SECONDS = 0.25  # between requests, while there is something to ask
-PEERS_PER_REQUEST = 2  # one of them may have restarted as well
-MAX_ANSWERS_PER_SECOND = 100  # further requests are dropped: a mass restart must not keep a member busy
+REQUEST_INTERVAL_SECONDS = 0.25  # interval of the requests while state is needed
+PEERS_PER_REQUEST = 2  # more than one, since a peer may have restarted as well
+MAX_REQUESTS_PER_SECOND = 100  # more are dropped, so that a mass restart does not overload a member
 
 
 class PeerStateExchange:
-    """Asks a few peers as long as there is something to ask, and answers the requests of others.
+    """Requests state from a few peers while it is needed, and responds to the requests of others.
 
-    `build_request` returns the request to send or None, `answer_request` the answer to a peer or None, and
-    `handle_peer_state` receives the answers of peers.  `cached_peers` are asked while no member is known to
-    run.  The exchange runs from its creation until `close`.
+    `build_request` returns the request to send or None, `build_response` the response to a peer or None, and
+    `handle_peer_state` receives the responses of peers.  Requests go to `cached_peers` while no running
+    member is known.  The exchange runs from its creation until `close`.
     """
 
     def __init__(
@@ -30,14 +30,14 @@
         membership: MembershipAgent,
         cached_peers: list[Address],
         build_request: Callable[[], PeerStateRequest | None],
-        answer_request: Callable[[PeerStateRequest], PeerState | None],
+        build_response: Callable[[PeerStateRequest], PeerState | None],
         handle_peer_state: Callable[[PeerState], None],
     ) -> None:
         own_address = membership.swim.me.address
         self._membership = membership
         self._cached_peers = [address for address in cached_peers if address != own_address]
         self._build_request = build_request
-        self._answer_request = answer_request
+        self._build_response = build_response
         self._handle_peer_state = handle_peer_state
         self._loop = asyncio.get_running_loop()
         self._current_second = 0
@@ -46,7 +46,7 @@
         self._timer: asyncio.Handle = self._loop.call_soon(self._send_request)
 
     def close(self) -> None:
-        """Stop asking and answering."""
+        """Stop sending requests and responses."""
         self._timer.cancel()
         self._membership.handlers.pop(PacketKind.RECOVERY, None)
 
@@ -73,16 +73,16 @@
             return
         if isinstance(message, PeerState):
             self._handle_peer_state(message)
-        elif self._may_answer():
-            answer = self._answer_request(message)
-            if answer is not None:
-                self._send(packet.sender.address, answer)
+        elif self._is_within_rate_limit():
+            response = self._build_response(message)
+            if response is not None:
+                self._send(packet.sender.address, response)
 
-    def _may_answer(self) -> bool:
-        """Count a request and return whether it is within the limit of this second."""
+    def _is_within_rate_limit(self) -> bool:
+        """Count a request and return whether it is within the limit for this second."""
         second = int(self._loop.time())
         if second != self._current_second:
             self._current_second = second
             self._requests_in_second = 0
         self._requests_in_second += 1
-        return self._requests_in_second <= MAX_ANSWERS_PER_SECOND
+        return self._requests_in_second <= MAX_REQUESTS_PER_SECOND
--- a/stalltiller/daemon/recovery_coordinator.py
+++ b/stalltiller/daemon/recovery_coordinator.py
@@ -1,4 +1,4 @@
-"""Coordinates an initiator's recovery with its fleet: calls to discovery, admission, and peers' answers.
+"""Coordinates an initiator's recovery with its fleet: discovery calls, admission, and peers' responses.
 
 The decisions are made in `recovery`; this module connects them to the clock, the fleet, the target list and
 the engine.
@@ -35,28 +35,26 @@
 if TYPE_CHECKING:
     from stalltiller.fleet.membership_agent import MembershipAgent
 
-PEER_CONTACT_RECHECK_SECONDS = 0.1  # between checks whether enough is known of the peers to judge
-MAX_UNCONFIRMED_AGE_SECONDS = 30.0  # an older target list has to be confirmed by discovery or a peer
-MAX_CONFIRMATION_WAIT_SECONDS = 5.0  # after which it is used without, as discovery and all peers are silent
-PEER_ESTIMATES_SECONDS = (
-    5.0  # after the start, within which peers' estimates are better than none of one's own
-)
+PEER_CONTACT_RECHECK_SECONDS = 0.1  # interval of the checks whether the wait for peers is over
+MAX_UNCONFIRMED_AGE_SECONDS = 30.0  # an older target list must be confirmed by discovery or a peer
+MAX_CONFIRMATION_WAIT_SECONDS = 5.0  # then it is used unconfirmed, as neither discovery nor a peer responds
+PEER_ESTIMATES_WINDOW_SECONDS = 5.0  # this soon after the start, a peer's estimate is better than none
 
 Log = Callable[..., None]
 
 
 class CoordinatorStatus(TypedDict):
-    """What operators see of the coordination; the keys are those of the administration call."""
+    """The coordinator's status for operators; the keys are those of the administration call."""
 
     ramping: bool
     door: dict[str, int]  # outcomes of requests during the ramp
-    withheld: list[str]  # names of targets
+    withheld: list[str]  # names of the targets that are sent no new requests
 
 
 class RecoveryCoordinator:
     """The recovery of one process among the members of its fleet.
 
-    `load_baseline` is what the snapshot held; the owner replaces it as it measures new values.
+    `load_baseline` initially comes from the snapshot; the owner replaces it with newly measured values.
     `targets_with_estimates` names the targets whose latency is known from the snapshot or from a peer.
     """
 
@@ -69,7 +67,7 @@
         target_list_history: TargetListHistory,
         load_baseline: LoadBaseline,
         mass_restart_detector: MassRestartDetector,
-        phases: RecoveryPhaseTracker,
+        phase_tracker: RecoveryPhaseTracker,
         log: Log,
     ) -> None:
         self._name = name
@@ -80,14 +78,14 @@
         self._log = log
         self.load_baseline = load_baseline
         self.mass_restart_detector = mass_restart_detector
-        self.phases = phases
+        self.phase_tracker = phase_tracker
         self.targets_with_estimates: set[str] = set()
         self._loop = asyncio.get_running_loop()
         self._started_at = self._loop.time()
         self._membership: MembershipAgent | None = None
         self._peer_state_filter = PeerStateFilter(discovery_address)
         self._is_initial_poll_scheduled = False
-        self._is_confirmed_by_discovery = False  # the list known is the newest
+        self._is_confirmed_by_discovery = False  # the known target list is the newest
         self._is_confirmed_by_peer = False
         self.admission_gate = RecoveryAdmissionGate(lambda: engine.settings, lambda: engine.target_count)
         engine.set_admission_gate(self.admission_gate)
@@ -99,7 +97,7 @@
 
     @property
     def fleet_view(self) -> FleetView:
-        """The fleet as this initiator sees it now."""
+        """This initiator's current view of the fleet."""
         if self._membership is None:
             return FleetView()
         members = [self._membership.swim.me, *self._membership.swim.table.others]
@@ -108,14 +106,14 @@
 
     @property
     def peers(self) -> tuple[PeerAddress, ...]:
-        """The other members that run, or those of the snapshot if none is known to run."""
+        """The other running members, or those of the snapshot if no running one is known."""
         others = [] if self._membership is None else self._membership.swim.table.others
         return tuple(PeerAddress(member.name, *member.address) for member in others) or (
             self.load_baseline.peers
         )
 
     def status(self) -> CoordinatorStatus:
-        """Return the state of the ramp and the targets withheld, for operators."""
+        """Return the state of the ramp and the withheld targets, for operators."""
         ramp = self.admission_gate.ramp
         return {
             "ramping": ramp is not None,
@@ -124,7 +122,7 @@
         }
 
     def join_fleet(self, membership: MembershipAgent) -> None:
-        """Use the members of a fleet from now on."""
+        """Start to use the membership of a fleet."""
         self._membership = membership
 
     # --- Admission --------------------------------------------------------------------------------
@@ -148,7 +146,7 @@
 
     # --- Target list ------------------------------------------------------------------------------
     def initial_poll_delay(self, schedule: PollSchedule) -> float:
-        """Return the seconds after which to ask again whether the first list call may be made; 0: now."""
+        """Return 0 if the first list call may be made now, else the seconds until the next check."""
         if self._is_initial_poll_scheduled:
             return 0.0
         has_target_list = bool(self._target_list_history.version)
@@ -168,14 +166,14 @@
         return delay
 
     def handle_poll_failure(self) -> FleetView:
-        """Ask peers for changes from now on, since a list call has failed; return the fleet as seen now."""
+        """Start to request changes from peers, since a list call failed; return the current fleet view."""
         self._is_confirmed_by_discovery = False
         return self.fleet_view
 
     def handle_target_list(self, version: int, is_first: bool) -> None:
-        """Handle an answer of discovery, even one without changes.
+        """Handle a response of discovery, including one without changes.
 
-        `is_first` says that no target list was known before.
+        `is_first` means that no target list was known before.
         """
         self._is_confirmed_by_discovery = True
         if is_first and self.admission_gate.ramp is not None:
@@ -184,7 +182,7 @@
             self._apply_peer_state()
 
     def change_discovery(self, discovery_address: str) -> None:
-        """Follow another discovery service, for which all answers of peers so far mean nothing."""
+        """Switch to another discovery service, which invalidates all previous responses of peers."""
         self._discovery_address = discovery_address
         self._is_confirmed_by_discovery = False
         self._is_confirmed_by_peer = False
@@ -194,8 +192,8 @@
     def is_target_list_trusted(self, confirmed_at: float, peer_confirmation_wait: float) -> bool:
         """Return whether the target list is good enough for this initiator to be ready.
 
-        `confirmed_at` is the Unix time at which discovery last confirmed it; `peer_confirmation_wait` are the
-        seconds for which the operator has readiness wait for a peer's confirmation.
+        `confirmed_at` is the Unix time at which discovery last confirmed it; `peer_confirmation_wait` is the
+        configured time in seconds for which readiness waits for a peer's confirmation.
         """
         if self._is_confirmed_by_discovery or self._is_confirmed_by_peer:
             return True
@@ -206,19 +204,19 @@
 
     # --- Peers ------------------------------------------------------------------------------------
     def build_request(self) -> PeerStateRequest | None:
-        """Return a request for all changes, or None while discovery itself reports them."""
+        """Return a request for all changes, or None if discovery itself has confirmed the target list."""
         if self._is_confirmed_by_discovery:
             return None
         return PeerStateRequest(self._discovery_address, self._target_list_history.version)
 
-    def answer_request(self, request: PeerStateRequest) -> PeerState | None:
-        """Return what this initiator can tell a restarted peer, or None if that is nothing."""
+    def build_response(self, request: PeerStateRequest) -> PeerState | None:
+        """Return the state to send to a restarted peer, or None if there is none for this request."""
         target_list = self._target_list_history.target_list
         if target_list is None or request.discovery_address != self._discovery_address:
             return None
         known_changes = self._target_list_history.changes_since(request.version)
         changed_targets = known_changes
-        if changed_targets is None:  # the next best: those that may have restarted meanwhile
+        if changed_targets is None:  # fallback: the targets that may have restarted meanwhile
             changed_targets = [target for target in target_list.targets if target.started_at]
         return PeerState(
             discovery_address=self._discovery_address,
@@ -232,27 +230,27 @@
             load_baseline=self.load_baseline,
         )
 
-    def handle_peer_state(self, answer: PeerState) -> None:
-        """Use an answer of a peer as far as the filter allows it."""
+    def handle_peer_state(self, response: PeerState) -> None:
+        """Use a peer's response as far as the filter allows it."""
         target_list = self._target_list_history.target_list
-        if target_list is None or answer.discovery_address != self._discovery_address:
+        if target_list is None or response.discovery_address != self._discovery_address:
             return
-        if self._peer_state_filter.confirms_version(answer, target_list.version):
+        if self._peer_state_filter.confirms_version(response, target_list.version):
             self._is_confirmed_by_peer = True
         start_times = {target.name: target.started_at for target in target_list.targets}
-        if self._peer_state_filter.apply(answer, target_list.version, start_times):
+        if self._peer_state_filter.apply(response, target_list.version, start_times):
             self._apply_peer_state()
-        self.phases.set_default_served_fraction(answer.load_baseline.served_fraction)
+        self.phase_tracker.set_default_served_fraction(response.load_baseline.served_fraction)
         if self.admission_gate.ramp is not None:
-            self.admission_gate.ramp.add_peer_rates(dict(answer.load_baseline.shard_rates))
-        self._use_estimates(answer.latency_estimates)
+            self.admission_gate.ramp.add_peer_rates(dict(response.load_baseline.shard_rates))
+        self._use_estimates(response.latency_estimates)
 
     def _use_estimates(self, estimates: tuple[TargetLatencyEstimate, ...]) -> None:
-        """Use a peer's estimates for targets without one, shortly after the start."""
+        """Use a peer's estimates for targets without one, within a short time after the start."""
         new_estimates = tuple(
             estimate for estimate in estimates if estimate.target_name not in self.targets_with_estimates
         )
-        if not new_estimates or self.age >= PEER_ESTIMATES_SECONDS:
+        if not new_estimates or self.age >= PEER_ESTIMATES_WINDOW_SECONDS:
             return
         self.targets_with_estimates |= {estimate.target_name for estimate in new_estimates}
         snapshot = RecoverySnapshot(
--- a/stalltiller/daemon/recovery_service.py
+++ b/stalltiller/daemon/recovery_service.py
@@ -1,4 +1,4 @@
-"""Keeps an initiator's state on a disk, restores it after a restart and reports how far the recovery is."""
+"""Persists an initiator's state, restores it after a restart and reports the progress of the recovery."""
 
 from __future__ import annotations
 
@@ -34,18 +34,18 @@
     from stalltiller.fleet.membership_agent import MembershipAgent
 
 PHASE_CHECK_INTERVAL_SECONDS = 0.1
-MIN_SAVE_INTERVAL_SECONDS = 0.05  # however fast the target list changes
-SERVED_FRACTION_GAIN = 0.2  # weight of the newest served fraction in that of the load baseline
+MIN_SAVE_INTERVAL_SECONDS = 0.05  # limits the writes when the target list changes rapidly
+SERVED_FRACTION_GAIN = 0.2  # weight of the newest served fraction in the load baseline's moving average
 
 Log = Callable[..., None]
 
 
 @dataclass(slots=True, frozen=True)
 class RecoveryConfig:
-    """The [recovery] section of an operator's file; times in seconds.
+    """The [recovery] section of an operator's configuration file; times in seconds.
 
-    `is_ramp_enabled` says whether a fleet's mass restarts are paced, and `peer_confirmation_wait` for how
-    long readiness waits for a peer's confirmation of the target list.
+    `is_ramp_enabled` enables the pacing of a fleet's mass restarts, and `peer_confirmation_wait` is how long
+    readiness waits for a peer's confirmation of the target list.
     """
 
     folder: str
@@ -55,17 +55,17 @@
 
 
 class RecoveryStatus(CoordinatorStatus):
-    """What operators see of the recovery; the keys are those of the administration call."""
+    """The status of the recovery for operators; the keys are those of the administration call."""
 
     phase: str
-    full_after_s: float  # from the start until service was full; 0 before
+    full_after_s: float  # time from the start until service was full; 0 until then
 
 
 class RecoveryService:
-    """The state of one initiator that outlives its process.
+    """Persists and restores the state of one initiator that outlives its process.
 
-    It is created before the target list is loaded, then started, and stopped once all requests are answered.
-    Snapshots are saved in a worker thread, never in that of the event loop.
+    It is created before the target list is loaded, then started, and stopped once all requests are finished.
+    Snapshots are saved on a worker thread, never on the event loop's thread.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         self._is_paced = in_fleet and config.is_ramp_enabled
         self._snapshot = self._load_snapshot()
         load_baseline = LoadBaseline() if self._snapshot is None else self._snapshot.load_baseline
-        self.phases = RecoveryPhaseTracker(self._loop.time(), load_baseline.served_fraction)
+        self.phase_tracker = RecoveryPhaseTracker(self._loop.time(), load_baseline.served_fraction)
         self.coordinator = self._create_coordinator(directory, load_baseline)
         if self._is_paced:
             self.coordinator.start_ramp_if_needed()
@@ -103,17 +103,17 @@
 
     @property
     def first_call_waits(self) -> bool:
-        """Whether the first list call waits for changes as the later ones do.
+        """Whether the first list call waits for changes, as later ones do.
 
-        In a fleet peers report what is new, and one more call from each restarted member would double the
-        load of discovery.
+        In a fleet, peers report the changes, and an additional call from each restarted member would double
+        the load of discovery.
         """
         return self._is_paced
 
     def initial_target_list(self, configured: TargetList | None) -> TargetList | None:
         """Return the newer of the stored target list and the configured one.
 
-        Only this initiator's own lists count: a target that none of them names gets no requests.
+        Only this initiator's own lists are used: a target that neither list contains is sent no requests.
         """
         initial = configured
         if self._snapshot is not None and _is_newer(self._snapshot.target_list, configured):
@@ -123,79 +123,80 @@
             self._target_list_history.apply(replace(initial, is_full=True))
         return initial
 
-    def poll_policy(self, single_policy: BackoffPollPolicy) -> PollPolicy:
-        """Return the policy of list calls, given that of an initiator without a fleet."""
-        return ListPollPolicy(single_policy, self.coordinator) if self._is_paced else single_policy
+    def poll_policy(self, standalone_policy: BackoffPollPolicy) -> PollPolicy:
+        """Return the policy of list calls, given that of a standalone initiator."""
+        return ListPollPolicy(standalone_policy, self.coordinator) if self._is_paced else standalone_policy
 
     def join_fleet(self, membership: MembershipAgent) -> None:
-        """Exchange state with the members of a fleet from now on."""
+        """Start to exchange state with the members of a fleet."""
         self.coordinator.join_fleet(membership)
         self._peer_state_exchange = PeerStateExchange(
             membership,
             [(peer.host, peer.port) for peer in self.coordinator.load_baseline.peers],
             self.coordinator.build_request,
-            self.coordinator.answer_request,
+            self.coordinator.build_response,
             self.coordinator.handle_peer_state,
         )
 
     def start(self, check_readiness: Callable[[], bool]) -> None:
-        """Restore the snapshot, and save new ones from now on; the scheduler must know its targets.
+        """Restore the snapshot and start to save new ones; the scheduler must already have its targets.
 
-        `check_readiness` is called regularly, so that the start of service is noticed though nobody asks.
+        `check_readiness` is called periodically, so that the start of service is detected without readiness
+        probes.
         """
         self._check_readiness = check_readiness
         if self._snapshot is not None:
             self._restore_snapshot(self._snapshot)
             self._snapshot = None
-        self._save_task = self._loop.create_task(self._save_regularly())
+        self._save_task = self._loop.create_task(self._save_periodically())
         self._update_phase()
 
     def handle_target_list(self, target_list: TargetList) -> None:
-        """Handle an answer of discovery, even one without changes."""
+        """Handle a response of discovery, including one without changes."""
         self._target_list_confirmed_at = time.time()
         if target_list.targets or target_list.is_full:
-            self._target_list_changed.set()  # saved at once: a drain stays known if the process is killed
+            self._target_list_changed.set()  # saved immediately, so that a drain survives a kill
         is_first = not self._target_list_history.version
         self._target_list_history.apply(target_list)
         self.coordinator.handle_target_list(target_list.version, is_first)
 
     def change_discovery(self, discovery_address: str) -> None:
-        """Follow another discovery service, for which the versions of the one before mean nothing."""
+        """Switch to another discovery service, which invalidates the previous one's versions."""
         self._discovery_address = discovery_address
         self._target_list_confirmed_at = 0.0
         self._target_list_history.clear()
         self.coordinator.change_discovery(discovery_address)
 
     def is_ready(self) -> bool:
-        """Return whether the known target list is good enough to serve from."""
+        """Return whether the known target list is good enough to serve requests."""
         if not self._engine.target_count:
             return False  # without a target every request would be rejected
         if not self.coordinator.is_target_list_trusted(
             self._target_list_confirmed_at, self._config.peer_confirmation_wait
         ):
             return False
-        if self.phases.mark_ready():
+        if self.phase_tracker.mark_ready():
             self._log_phase(self.coordinator.age)
         return True
 
     def status(self) -> RecoveryStatus:
-        """Return the state of the recovery for operators."""
+        """Return the status of the recovery for operators."""
         return {
-            "phase": self.phases.phase.value,
-            "full_after_s": round(self.phases.full_after, 3),
+            "phase": self.phase_tracker.phase.value,
+            "full_after_s": round(self.phase_tracker.full_after, 3),
             **self.coordinator.status(),
         }
 
     def metrics(self) -> dict[str, float]:
-        """Return the state of the recovery by names of metrics."""
+        """Return the recovery metrics by name."""
         return {
-            "recovery_full": float(self.phases.phase is RecoveryPhase.FULL),
-            "recovery_full_after_s": self.phases.full_after,
+            "recovery_full": float(self.phase_tracker.phase is RecoveryPhase.FULL),
+            "recovery_full_after_s": self.phase_tracker.full_after,
             "recovery_ramping": float(self.coordinator.admission_gate.ramp is not None),
         }
 
     async def stop(self) -> None:
-        """Save the last snapshot as one of a clean shutdown; nothing may be sent to targets afterwards."""
+        """Save a last snapshot, marked as a clean shutdown; nothing may be sent to targets afterwards."""
         if self._peer_state_exchange is not None:
             self._peer_state_exchange.close()
         if self._save_task is not None:
@@ -207,7 +208,7 @@
         self._store.close()
 
     def _load_snapshot(self) -> RecoverySnapshot | None:
-        """Return the stored snapshot without its expired parts, or None if there is none that may be used."""
+        """Return the stored snapshot without its expired parts, or None if there is no usable one."""
         now = time.time()
         try:
             stored = self._store.load(self._name, self._discovery_address, now)
@@ -239,17 +240,17 @@
             directory,
             self._target_list_history,
             load_baseline,
-            self._mass_restart_detector(load_baseline),
-            self.phases,
+            self._create_mass_restart_detector(load_baseline),
+            self.phase_tracker,
             self._log,
         )
 
-    def _mass_restart_detector(self, load_baseline: LoadBaseline) -> MassRestartDetector:
+    def _create_mass_restart_detector(self, load_baseline: LoadBaseline) -> MassRestartDetector:
         was_killed = self._snapshot is None or not self._snapshot.is_clean_shutdown
         fleet_size = 1
         if self._is_paced:
             fleet_size = self._engine.settings.initiator_count
-            if load_baseline.peers:  # none are stored if it was saved before it knew any
+            if load_baseline.peers:  # a snapshot saved before any peer was known contains none
                 fleet_size = len(load_baseline.peers) + 1
         return MassRestartDetector(fleet_size, was_killed)
 
@@ -268,18 +269,20 @@
 
     def _update_phase(self) -> None:
         self._phase_timer = self._loop.call_later(PHASE_CHECK_INTERVAL_SECONDS, self._update_phase)
-        if self.phases.phase is RecoveryPhase.STARTING:
+        if self.phase_tracker.phase is RecoveryPhase.STARTING:
             self._check_readiness()
         counts = self._engine.counts
-        answered = counts["served"] + counts["refused"] + counts["failed"]
-        if self.phases.record_counts(self._loop.time(), answered, counts["served"], counts["attempt_full"]):
-            self._log_phase(self.phases.full_after)
+        finished = counts["served"] + counts["refused"] + counts["failed"]
+        if self.phase_tracker.record_counts(
+            self._loop.time(), finished, counts["served"], counts["attempt_full"]
+        ):
+            self._log_phase(self.phase_tracker.full_after)
         self.coordinator.end_ramp_if_complete()
 
     def _log_phase(self, after: float) -> None:
-        self._log("recovery_phase", phase=self.phases.phase.value, after_s=round(after, 3))
+        self._log("recovery_phase", phase=self.phase_tracker.phase.value, after_s=round(after, 3))
 
-    async def _save_regularly(self) -> None:
+    async def _save_periodically(self) -> None:
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self._config.save_interval):
@@ -304,14 +307,14 @@
         )
         try:
             await self._loop.run_in_executor(None, self._store.save, snapshot)
-        except OSError as error:  # the previous snapshot is still stored
+        except OSError as error:  # the previous snapshot is kept
             self._log("recovery_snapshot_save_failed", error=str(error))
 
     def _measured_load_baseline(self) -> LoadBaseline:
-        """Return the baseline to store, of which only the peers change while service is not full."""
+        """Return the load baseline to store; until service is full, only its peers change."""
         previous = self.coordinator.load_baseline
-        served_fraction = self.phases.served_fraction
-        if self.phases.phase is not RecoveryPhase.FULL or served_fraction is None:
+        served_fraction = self.phase_tracker.served_fraction
+        if self.phase_tracker.phase is not RecoveryPhase.FULL or served_fraction is None:
             return replace(previous, peers=self.coordinator.peers)
         known_fraction = served_fraction if previous.served_fraction is None else previous.served_fraction
         return LoadBaseline(
--- a/stalltiller/recovery/__init__.py
+++ b/stalltiller/recovery/__init__.py
@@ -1,11 +1,12 @@
-"""Recovery after a restart: what an initiator keeps, what of it may still be used, and how it ramps up.
+"""Recovery of an initiator after a restart: its persisted state, the limits on using it, and the ramp-up.
 
-- `snapshot` (with `snapshot_codec`, `store` and `target_list_history`): the state kept across a restart.
-- `scheduler_state`: captures the scheduler's learnt state and restores it.
+- `snapshot` (with `snapshot_codec`, `store` and `target_list_history`): the state persisted across a restart.
+- `scheduler_state`: captures the scheduler's learned state and restores it.
 - `mass_restart`, `poll_schedule`, `recovery_ramp`, `retry_reservations`, `shard_load`: pace the calls to
   discovery and the admission of requests when many members of a fleet restart together.
-- `peer_state` (with `peer_state_codec` and `peer_state_filter`): what peers tell a restarted initiator.
-- `phases`: how far the recovery is.
+- `peer_state` (with `peer_state_codec` and `peer_state_filter`): the state that peers send to a restarted
+  initiator.
+- `phases`: tracks the progress of the recovery.
 
 Only `store` does I/O; `daemon.recovery_service` and `daemon.recovery_coordinator` connect these modules to
 the event loop, the fleet and the engine.
--- a/stalltiller/recovery/mass_restart.py
+++ b/stalltiller/recovery/mass_restart.py
@@ -1,8 +1,8 @@
-"""Decides whether this initiator restarted together with many others.  Pure.
+"""Detects mass restarts, in which this initiator restarted together with many other members.  No I/O.
 
-An initiator judges by its own start time, the start times of its peers and what it knew before the restart.
-One that restarted alone calls discovery and admits requests at once; in a mass restart it paces both (see
-`poll_schedule` and `recovery_ramp`).
+The decision is based on this initiator's start time, its peers' start times and the state from before the
+restart.  An initiator that restarted alone calls discovery and admits requests without delay; in a mass
+restart it paces both (see `poll_schedule` and `recovery_ramp`).
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-START_TIME_TOLERANCE_SECONDS = 10.0  # by which starts of one mass restart may differ
-MASS_RESTART_FRACTION = 0.2  # of the fleet: so many recently started members are a mass restart
-MIN_MASS_RESTART_MEMBERS = 2  # and never fewer than these, this one included
-PEER_CONTACT_SECONDS = 1.0  # for which a process that was killed waits for its peers before it judges
+START_TIME_TOLERANCE_SECONDS = 10.0  # largest difference between start times in one mass restart
+MASS_RESTART_FRACTION = 0.2  # in a mass restart, at least this fraction of the members started recently
+MIN_MASS_RESTART_MEMBERS = 2  # smallest number of recently started members, including this one
+PEER_CONTACT_TIMEOUT_SECONDS = 1.0  # after a kill, time to wait for peers before the decision
 
 
 @dataclass(slots=True, frozen=True)
 class FleetView:
-    """The fleet as one initiator sees it now.
+    """One initiator's current view of its fleet.
 
     `member_count` counts the running members, this one included, `rank` is its place among them by name
     (from 0), and `recently_started_count` counts those that started within START_TIME_TOLERANCE_SECONDS of
@@ -43,25 +43,25 @@
 
 
 class MassRestartDetector:
-    """The judgement of one initiator, given its last known fleet size and whether it was killed."""
+    """Decides for one initiator, given its last known fleet size and whether its last process was killed."""
 
     def __init__(self, last_known_fleet_size: int, was_killed: bool) -> None:
         self.last_known_fleet_size = max(1, last_known_fleet_size)
         self._was_killed = was_killed
 
     def fleet_size(self, view: FleetView) -> int:
-        """Return the number of running members, or the last known number if no peer is known to run."""
+        """Return the number of running members, or the last known number if no running peer is known."""
         return view.member_count if view.member_count > 1 else self.last_known_fleet_size
 
     def is_waiting_for_peers(self, age: float) -> bool:
-        """Return whether it is too early to judge, `age` seconds after the start: peers may yet appear."""
-        return self._was_killed and self.last_known_fleet_size > 1 and age < PEER_CONTACT_SECONDS
+        """Return whether it is too early to decide, `age` seconds after the start: peers may still appear."""
+        return self._was_killed and self.last_known_fleet_size > 1 and age < PEER_CONTACT_TIMEOUT_SECONDS
 
     def is_mass_restart(self, view: FleetView, age: float) -> bool:
-        """Return whether this initiator has to pace itself, `age` seconds after its start.
+        """Return whether this initiator must pace itself, `age` seconds after its start.
 
-        While it is too early to judge, and when no peer is heard after a kill, a mass restart is assumed: a
-        false positive delays one initiator for a moment, a false negative overloads discovery and targets.
+        While it is too early to decide, and when no peer is known after a kill, a mass restart is assumed: a
+        false positive briefly delays one initiator, a false negative overloads discovery and the targets.
         """
         if self.is_waiting_for_peers(age) or view.member_count == 1:
             return self._was_killed and self.last_known_fleet_size > 1
--- a/stalltiller/recovery/peer_state.py
+++ b/stalltiller/recovery/peer_state.py
@@ -1,7 +1,7 @@
-"""What a restarted initiator asks of its peers, and what they answer.
+"""The messages with which a restarted initiator requests state from its peers, and their responses.
 
-These are plain values: `peer_state_codec` encodes them, and `peer_state_filter` decides which parts of an
-answer may be used.
+These are plain values: `peer_state_codec` encodes them, and `peer_state_filter` decides which parts of a
+response may be used.
 """
 
 from __future__ import annotations
@@ -14,7 +14,10 @@
 
 @dataclass(slots=True, frozen=True)
 class TargetChange:
-    """A target's state as the peer knows it; `started_at` is the Unix time of its start, if it is known."""
+    """A target's state as a peer reports it.
+
+    `started_at` is the Unix time of the target's start (None: unknown or long ago).
+    """
 
     target_name: str
     status: TargetStatus
@@ -23,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerStateRequest:
-    """Asks for all changes since a version of one discovery service's list (0: none is known)."""
+    """Requests all changes since a version of one discovery service's target list (0: no version known)."""
 
     discovery_address: str
     version: int
@@ -31,9 +34,9 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerState:
-    """A peer's answer, or a part of one.
+    """A peer's response, or a part of one.
 
-    `is_complete` says that it holds every change from `requested_version` to `version`.
+    `is_complete` means that it holds every change from `requested_version` to `version`.
     """
 
     discovery_address: str
--- a/stalltiller/recovery/peer_state_codec.py
+++ b/stalltiller/recovery/peer_state_codec.py
@@ -1,7 +1,7 @@
-"""Encodes requests to peers and their answers as bodies of datagrams (see `recovery.proto`).
+"""Encodes requests to peers and their responses as datagram bodies (see `recovery.proto`).
 
-A long answer is split over several datagrams, each of which can be used without the others, as some may be
-lost.  Everything that is read is checked for its bounds.
+A long response is split into several datagrams, each of which can be used without the others, as some may be
+lost.  Decoded names, statuses and measurements are checked against bounds.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 from stalltiller.recovery.snapshot import LoadBaseline, TargetLatencyEstimate
 from stalltiller.scheduling import TargetStatus
 
-MAX_BODY_BYTES = 1100  # with the sender's name and address it fits into one datagram
-MAX_NAME_LENGTH = 128  # characters of a target's name or an address
-MAX_DATAGRAMS = 8  # of one answer; the rest is left out
-MAX_NUMBER = 1e12  # no time, rate or latency reaches it; NaN is not below it either
-FIELD_OVERHEAD_BYTES = 4  # at most, for the tag and the length of an embedded message
-STATUSES = (TargetStatus.READY, TargetStatus.DRAINING, TargetStatus.REMOVED)  # by their numbers on the wire
+MAX_BODY_BYTES = 1100  # with the sender's name and address, a body of this size fits into one datagram
+MAX_NAME_CHARACTERS = 128  # limit for a target's name and for an address
+MAX_DATAGRAMS_PER_RESPONSE = 8  # the rest of a longer response is omitted
+NUMBER_LIMIT = 1e12  # every valid time, rate and latency is below it; NaN fails the comparison as well
+FIELD_OVERHEAD_BYTES = 4  # upper bound on the tag and length of an embedded message
+STATUSES = (TargetStatus.READY, TargetStatus.DRAINING, TargetStatus.REMOVED)  # indexed by number on the wire
 
 
 class MalformedPeerStateError(ValueError):
-    """A datagram holds no valid message of a peer; the text says what is wrong with it."""
+    """A datagram body is not a valid peer state message; the text states the error."""
 
 
 def encode_message(message: PeerStateMessage) -> list[bytes]:
-    """Return a message as bodies of datagrams: at most the first MAX_DATAGRAMS of a long answer."""
+    """Encode a message as datagram bodies, at most MAX_DATAGRAMS_PER_RESPONSE for a long response."""
     if isinstance(message, PeerStateRequest):
         return [_encode_request(message)]
-    return _encode_answer(message)
+    return _encode_response(message)
 
 
 def decode_message(data: bytes) -> PeerStateRequest | PeerState:
-    """Read the body of a datagram.  Raises MalformedPeerStateError."""
+    """Decode a datagram body.  Raises MalformedPeerStateError."""
     message = pb.PeerStateMessage()
     try:
         message.ParseFromString(data)
     except DecodeError as error:
-        raise MalformedPeerStateError("malformed") from error
+        raise MalformedPeerStateError("not a protobuf PeerStateMessage") from error
     _check_bounds(message)
     if message.is_request:
         return PeerStateRequest(message.discovery_address, message.version)
@@ -65,26 +65,26 @@
     return message.SerializeToString()
 
 
-def _encode_answer(answer: PeerState) -> list[bytes]:
+def _encode_response(response: PeerState) -> list[bytes]:
     header = pb.PeerStateMessage(
-        discovery_address=answer.discovery_address,
-        version=answer.version,
-        requested_version=answer.requested_version,
-        served_fraction=answer.load_baseline.served_fraction or 0.0,
+        discovery_address=response.discovery_address,
+        version=response.version,
+        requested_version=response.requested_version,
+        served_fraction=response.load_baseline.served_fraction or 0.0,
     )
     max_entry_bytes = MAX_BODY_BYTES - header.ByteSize() - FIELD_OVERHEAD_BYTES
     datagrams = [_new_datagram(header)]
     datagram_bytes = 0
-    for field, entry in _entries(answer):
+    for field, entry in _entries(response):
         entry_bytes = entry.ByteSize() + FIELD_OVERHEAD_BYTES
         datagram_bytes += entry_bytes
         if datagram_bytes > max_entry_bytes:
             datagrams.append(_new_datagram(header))
             datagram_bytes = entry_bytes
         getattr(datagrams[-1], field).append(entry)
-    # Only the first may claim to be complete: nobody knows whether the others arrive.
-    datagrams[0].is_complete = answer.is_complete and len(datagrams[0].changes) == len(answer.changes)
-    return [datagram.SerializeToString() for datagram in datagrams[:MAX_DATAGRAMS]]
+    # Only the first datagram may be marked as complete, since the others may be lost.
+    datagrams[0].is_complete = response.is_complete and len(datagrams[0].changes) == len(response.changes)
+    return [datagram.SerializeToString() for datagram in datagrams[:MAX_DATAGRAMS_PER_RESPONSE]]
 
 
 def _new_datagram(header: pb.PeerStateMessage) -> pb.PeerStateMessage:
@@ -94,10 +94,10 @@
 
 
 def _entries(
-    answer: PeerState,
+    response: PeerState,
 ) -> Iterator[tuple[str, pb.TargetChange | pb.ShardRate | pb.TargetLatencyEstimate]]:
-    """Yield the field name and the message of each entry of an answer, the most important ones first."""
-    for change in answer.changes:
+    """Yield the field name and the message of each entry of a response, the most important ones first."""
+    for change in response.changes:
         yield (
             "changes",
             pb.TargetChange(
@@ -106,13 +106,13 @@
                 started_at=change.started_at or 0.0,
             ),
         )
-    for shard, units_per_second in answer.load_baseline.shard_rates:
+    for shard, units_per_second in response.load_baseline.shard_rates:
         shard_number = 0 if shard is None else shard + 1
         yield (
             "shard_rates",
             pb.ShardRate(shard_plus_one=shard_number, units_per_second=units_per_second),
         )
-    for estimate in answer.latency_estimates:
+    for estimate in response.latency_estimates:
         yield (
             "latency_estimates",
             pb.TargetLatencyEstimate(
@@ -128,17 +128,17 @@
     names = [message.discovery_address]
     names += [change.target_name for change in message.changes]
     names += [estimate.target_name for estimate in message.latency_estimates]
-    if any(len(name) > MAX_NAME_LENGTH for name in names):
-        raise MalformedPeerStateError("text or state")
+    if any(len(name) > MAX_NAME_CHARACTERS for name in names):
+        raise MalformedPeerStateError(f"name or address longer than {MAX_NAME_CHARACTERS} characters")
     if any(change.status >= len(STATUSES) for change in message.changes):
-        raise MalformedPeerStateError("text or state")
+        raise MalformedPeerStateError("unknown target status")
     numbers = [message.served_fraction]
     numbers += [change.started_at for change in message.changes]
     numbers += [rate.units_per_second for rate in message.shard_rates]
     for estimate in message.latency_estimates:
         numbers += [estimate.target_started_at, estimate.latency, estimate.concurrency_limit]
-    if not all(0.0 <= number < MAX_NUMBER for number in numbers):
-        raise MalformedPeerStateError("number")
+    if not all(0.0 <= number < NUMBER_LIMIT for number in numbers):
+        raise MalformedPeerStateError("number negative, too large or NaN")
 
 
 def _decode_change(change: pb.TargetChange) -> TargetChange:
--- a/stalltiller/recovery/poll_schedule.py
+++ b/stalltiller/recovery/poll_schedule.py
@@ -1,7 +1,7 @@
-"""Times of the calls to discovery during a mass restart.  Pure.
+"""Schedules the calls to discovery during a mass restart.  No I/O.
 
-All members share a cycle on the wall clock, in which each has a slot of its own by its rank.  So the fleet
-together calls discovery no more than PEAK_CALL_RATE_FACTOR times as often as in normal operation.
+All members share a cycle on the wall clock, in which the rank of each determines its slot.  The fleet thus
+calls discovery at most PEAK_CALL_RATE_FACTOR times as often as in normal operation.
 """
 
 from __future__ import annotations
@@ -10,17 +10,19 @@
 
 from stalltiller.recovery.mass_restart import FleetView
 
-PEAK_CALL_RATE_FACTOR = 1.5  # list calls per second, compared with normal operation
-MIN_RETRY_CYCLE_FRACTION = 0.25  # a slot that comes sooner after a call is the one that was just used
-MAX_FAILURES_EVERY_CYCLE = 3  # past so many, discovery may be overloaded by others: every second slot is used
+PEAK_CALL_RATE_FACTOR = 1.5  # list calls per second, relative to normal operation
+MIN_RETRY_CYCLE_FRACTION = 0.25  # a closer slot is skipped, since the failed call used it
+MAX_FAILURES_AT_FULL_RATE = (
+    3  # after more, others may be overloading discovery, so every second slot is skipped
+)
 
 
 class PollSchedule:
     """The slot of one member in a cycle of `poll_wait` / PEAK_CALL_RATE_FACTOR seconds.
 
-    `poll_wait` is how long a call waits at discovery in normal operation, so that each member calls about
-    once in that time.  Members that see the same fleet never share a slot; a member that knows no peer draws
-    its slot at random (full jitter).
+    `poll_wait` is how long discovery holds a call in normal operation, so that each member calls about once
+    in that time.  Members with the same view of the fleet never share a slot; a member that knows no peer
+    uses a random slot (full jitter).
     """
 
     def __init__(self, poll_wait: float, rng: random.Random) -> None:
@@ -35,10 +37,10 @@
         return (phase * self.cycle_seconds - unix_time) % self.cycle_seconds
 
     def retry_delay(self, unix_time: float, view: FleetView, failures: int) -> float:
-        """Return the seconds until the next call after `failures` failed calls in a row (1 or more)."""
+        """Return the seconds until the next call after `failures` consecutive failed calls (1 or more)."""
         delay = self.initial_delay(unix_time, view)
         if delay < MIN_RETRY_CYCLE_FRACTION * self.cycle_seconds:
             delay += self.cycle_seconds
-        if failures > MAX_FAILURES_EVERY_CYCLE:
+        if failures > MAX_FAILURES_AT_FULL_RATE:
             delay += self.cycle_seconds
         return delay
--- a/stalltiller/recovery/retry_reservations.py
+++ b/stalltiller/recovery/retry_reservations.py
@@ -1,7 +1,7 @@
-"""Reservations for rejected clients that were told when to retry.  Pure and bounded.
+"""Reservations of units for rejected clients that received a retry time.  No I/O; bounded memory.
 
-A client is identified by what it asks for (volume, class, idempotency key), since its retry carries another
-request id.
+A client is identified by its request's volume, class and idempotency key, since its retry has another request
+id.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-# A client may miss its time by these, for the network's delay, its timers and its own load.
+# Tolerated deviation from the retry time, due to network delay, client timers and client load.
 EARLY_TOLERANCE_SECONDS = 0.03
 LATE_TOLERANCE_SECONDS = 0.25
-MAX_RESERVATIONS = 8192  # bounds the memory; further clients get no reservation
+MAX_RESERVATIONS = 8192  # bounds the memory; further clients receive no reservation
 
 
 @dataclass(slots=True, frozen=True)
 class RetryReservation:
-    """Units of a shard that are reserved for a client's retry at the time `retry_at`."""
+    """Units of a shard that are reserved for a client's retry at `retry_at`."""
 
     retry_at: float
     shard: int | None
@@ -26,11 +26,11 @@
 
 
 class RetryReservations:
-    """The pending reservations by client."""
+    """The pending reservations, keyed by client."""
 
     def __init__(self) -> None:
         self._reservations: dict[object, RetryReservation] = {}
-        # A heap of time, sequence number and client; claimed reservations stay in it until they expire.
+        # A heap of (retry time, sequence number, client); claimed reservations stay in it until they expire.
         self._expiry_queue: list[tuple[float, int, object]] = []
         self._sequence_number = 0
 
@@ -40,7 +40,7 @@
     def reserve(self, client: object, retry_at: float, shard: int | None, units: float) -> bool:
         """Reserve units for a client's retry.
 
-        Returns False if the client has a reservation already, or if there are too many.
+        Returns False if the client already has a reservation, or if MAX_RESERVATIONS are queued.
         """
         if client in self._reservations or len(self._expiry_queue) >= MAX_RESERVATIONS:
             return False
--- a/stalltiller/recovery/scheduler_state.py
+++ b/stalltiller/recovery/scheduler_state.py
@@ -1,4 +1,4 @@
-"""Captures the scheduler's learnt state for a snapshot, and restores it after a restart.  No I/O."""
+"""Captures the scheduler's learned state for a snapshot, and restores it after a restart.  No I/O."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 )
 from stalltiller.scheduling.scheduler import Scheduler, TargetState, Volume
 
-START_TIME_TOLERANCE_SECONDS = 0.05  # each process reads the wall clock and the monotonic clock anew
-MAX_PLAUSIBLE_LATENCY_SECONDS = 60.0  # no request lives that long
+START_TIME_TOLERANCE_SECONDS = 0.05  # each process measures the offset of its clocks with a small error
+MAX_PLAUSIBLE_LATENCY_SECONDS = 60.0  # no request stays in flight that long
 
 
 class SchedulerState(NamedTuple):
-    """The learnt state of a scheduler."""
+    """The learned state of a scheduler."""
 
     latency_estimates: tuple[TargetLatencyEstimate, ...]
     token_levels: tuple[VolumeTokenLevel, ...]
 
 
 class RestoredCounts(NamedTuple):
-    """How many entries of each kind a scheduler accepted."""
+    """The number of entries of each kind that a scheduler accepted."""
 
     latency_estimates: int
     token_levels: int
@@ -61,9 +61,9 @@
 def restore_state(
     scheduler: Scheduler, snapshot: RecoverySnapshot, now: float, clock_offset: float
 ) -> RestoredCounts:
-    """Give a scheduler that knows its targets the state of a snapshot without expired parts.
+    """Restore a snapshot without expired parts into a scheduler that already has its target list.
 
-    The times are those of `capture_state`.  Returns how many entries were accepted.
+    `now` and `clock_offset` are as in `capture_state`.  Returns how many entries were accepted.
     """
     return RestoredCounts(
         _restore_estimates(scheduler, snapshot.latency_estimates, clock_offset),
@@ -97,10 +97,10 @@
     return 0.0 < estimate.latency < MAX_PLAUSIBLE_LATENCY_SECONDS and estimate.concurrency_limit > 0.0
 
 
-def _is_same_start(first: float | None, second: float | None) -> bool:
-    if first == second:
+def _is_same_start(start: float | None, other_start: float | None) -> bool:
+    if start == other_start:
         return True
-    return bool(first and second and abs(first - second) < START_TIME_TOLERANCE_SECONDS)
+    return bool(start and other_start and abs(start - other_start) < START_TIME_TOLERANCE_SECONDS)
 
 
 def _restore_token_levels(
--- a/stalltiller/recovery/shard_load.py
+++ b/stalltiller/recovery/shard_load.py
@@ -1,14 +1,14 @@
-"""Measures the load that clients ask of each shard through this initiator.  Pure and bounded."""
+"""Measures the load that clients request of each shard through this initiator.  No I/O; bounded memory."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-HALF_LIFE_SECONDS = 10.0  # units asked for so long ago count half
-MAX_SHARDS = 4096  # clients name shards freely, so their number has to be bounded
-MIN_REPORTED_RATE = 0.01  # units per second; lower rates are left out
-MIN_ELAPSED_SECONDS = 1e-3  # guards the division right after the start
+HALF_LIFE_SECONDS = 10.0  # time in which the weight of requested units halves
+MAX_SHARDS = 4096  # clients choose shards freely, so their number must be bounded
+MIN_REPORTED_UNITS_PER_SECOND = 0.01  # lower rates are omitted
+MIN_ELAPSED_SECONDS = 1e-3  # prevents a division by zero right after the start
 
 
 @dataclass(slots=True, frozen=True)
@@ -17,12 +17,12 @@
     updated_at: float
 
     def decayed_total(self, now: float) -> float:
-        """Return the sum at a time that is not before the last update."""
+        """Return the sum decayed until `now`, which must not precede the last update."""
         return self.total * 0.5 ** ((now - self.updated_at) / HALF_LIFE_SECONDS)
 
 
 class ShardLoadMeter:
-    """Units per second asked of each shard, as an exponentially decayed mean; times in seconds."""
+    """Units per second requested of each shard, as an exponentially decayed mean; times in seconds."""
 
     def __init__(self, now: float) -> None:
         self._started_at = now
@@ -38,9 +38,9 @@
         self._sums[shard] = _DecayedSum(previous.decayed_total(now) + units, now)
 
     def rates(self, now: float) -> tuple[tuple[int | None, float], ...]:
-        """Return the units per second by shard; exact for a steady stream however short the time measured."""
+        """Return the units per second by shard; a steady stream is exact after any measured time."""
         elapsed = max(MIN_ELAPSED_SECONDS, now - self._started_at)
-        # The decayed sum of a stream of one unit per second over that time.
+        # The decayed sum of a stream of one unit per second during `elapsed`.
         unit_sum = HALF_LIFE_SECONDS / math.log(2) * (1.0 - 0.5 ** (elapsed / HALF_LIFE_SECONDS))
         rates = ((shard, decayed.decayed_total(now) / unit_sum) for shard, decayed in self._sums.items())
-        return tuple((shard, rate) for shard, rate in rates if rate >= MIN_REPORTED_RATE)
+        return tuple((shard, rate) for shard, rate in rates if rate >= MIN_REPORTED_UNITS_PER_SECOND)
--- a/stalltiller/recovery/snapshot.py
+++ b/stalltiller/recovery/snapshot.py
@@ -1,17 +1,17 @@
-"""The state that an initiator keeps across a restart, and how long each part of it may be used.
+"""The state that an initiator persists across a restart, and how long each part of it may be used.
 
-This module is pure: it holds the types and the rules of validity, while `snapshot_codec` encodes them and
-`store` writes them.  All times are Unix times in seconds.  Each kind of state has an age past which it is
-discarded, and something that is used instead:
+This module does no I/O: it defines the types and the rules of validity, while `snapshot_codec` encodes
+snapshots and `store` writes them.  All times are Unix times in seconds.  Each kind of state is discarded when
+it expires, and replaced by a fallback:
 
-| state | used up to | used instead |
+| state | valid for | fallback |
 | --- | --- | --- |
 | target list | MAX_TARGET_LIST_AGE_SECONDS after discovery last confirmed it | the configured list, or none |
 | latency and concurrency limit of a target | MAX_LATENCY_ESTIMATE_AGE_SECONDS, same process | defaults |
 | tokens of a limited volume | any age, after a clean shutdown only | an empty bucket |
-| load baseline and peers | MAX_LOAD_BASELINE_AGE_SECONDS | what peers report, or a slow start |
+| load baseline and peers | MAX_LOAD_BASELINE_AGE_SECONDS | the peers' load baseline, or a slow start |
 
-Targets that an operator detached are kept by `daemon.process_handover` until they are attached again.
+Targets that an operator detached are persisted by `daemon.process_handover` until they are attached again.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 from stalltiller.protocol import discovery
 from stalltiller.scheduling import Plan
 
-MAX_TARGET_LIST_AGE_SECONDS = 600.0  # an older list names too many targets that have left
+MAX_TARGET_LIST_AGE_SECONDS = 600.0  # an older list contains too many removed targets
 MAX_LATENCY_ESTIMATE_AGE_SECONDS = 60.0  # a target's load changes within a minute
-MAX_LOAD_BASELINE_AGE_SECONDS = 3600.0  # the load of an hour ago still tells its order of magnitude
+MAX_LOAD_BASELINE_AGE_SECONDS = 3600.0  # the load of an hour ago still has the right order of magnitude
 
 
 class SnapshotRejectionReason(StrEnum):
-    """Why stored state must not be used."""
+    """Why a stored snapshot must not be used."""
 
     TORN = "torn"  # incomplete, or changed since it was written
-    FOREIGN = "foreign"  # written by another initiator, or for another discovery service
-    VERSION = "version"  # written in another format
-    FUTURE = "future"  # written at a time that this machine's clock has not reached
+    FOREIGN = "foreign"  # written by another initiator, or with another discovery service
+    VERSION = "version"  # written in another version of the format
+    FUTURE = "future"  # written at a time that is in the future by this machine's clock
 
 
 class SnapshotRejectedError(ValueError):
-    """Stored state must not be used, for `reason`."""
+    """A stored snapshot must not be used; `reason` says why."""
 
     def __init__(self, reason: SnapshotRejectionReason) -> None:
         super().__init__(reason.value)
@@ -47,10 +47,10 @@
 
 @dataclass(slots=True, frozen=True)
 class TargetLatencyEstimate:
-    """How fast a target answers this initiator.
+    """This initiator's latency estimate for a target.
 
-    `latency` is the mean in seconds and `concurrency_limit` counts requests.  `target_started_at` identifies
-    the target's process (None if it started long ago): an estimate does not hold for another process.
+    `latency` is the mean in seconds and `concurrency_limit` a number of requests.  `target_started_at`
+    identifies the target's process (None if it started long ago): an estimate is invalid for another process.
     """
 
     target_name: str
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class VolumeTokenLevel:
-    """Units left in this initiator's part of a volume's rate limit."""
+    """Units left in this initiator's share of a volume's rate limit."""
 
     volume: int
     plan_name: str
@@ -72,7 +72,7 @@
 
 
 class PeerAddress(NamedTuple):
-    """Another member of the fleet and the address at which its membership agent listens."""
+    """Another member of the fleet and the address on which its membership agent listens."""
 
     name: str
     host: str
@@ -81,10 +81,10 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadBaseline:
-    """The load of normal operation, by which a restarted initiator limits what it admits at first.
+    """The load of normal operation, by which a restarted initiator limits what it initially admits.
 
-    `served_fraction` is the part of the answered requests that was served (None if unknown), `shard_rates`
-    lists the units per second that this initiator sent to each shard (None: new data, for any shard), and
+    `served_fraction` is the served fraction of the finished requests (None if unknown), `shard_rates` lists
+    the units per second requested of each shard through this initiator (None: new data, for any shard), and
     `peers` lists the other members of the fleet.
     """
 
@@ -98,11 +98,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RecoverySnapshot:
-    """All state that is kept across a restart.
+    """All state that is persisted across a restart.
 
-    `discovery_address` scopes the target list, since two discovery services number their versions
-    independently.  `is_clean_shutdown` says that the process ended in order after this snapshot and consumed
-    no further tokens.
+    `discovery_address` scopes the target list, since discovery services number their versions independently.
+    `is_clean_shutdown` means that the process shut down in order after this snapshot and consumed no further
+    tokens.
     """
 
     initiator_name: str
@@ -136,9 +136,9 @@
 def initial_token_level(level: VolumeTokenLevel, plan: Plan, now: float) -> float:
     """Return the units with which a volume's token bucket starts at the Unix time `now`.
 
-    This is the lesser of the units that were left and those that accrued since, within this initiator's part
-    of the burst.  A restart must not create tokens: after a kill nobody knows what was consumed since the
-    last snapshot.
+    This is the smaller of the units that were left and those that accrued since, within this initiator's
+    share of the burst.  A restart must not create tokens: after a kill, the consumption since the last
+    snapshot is unknown.
     """
     accrued = plan.limit / level.initiator_count * max(0.0, now - level.measured_at)
     return max(0.0, min(level.units, accrued, plan.burst / level.initiator_count))
--- a/stalltiller/recovery/snapshot_codec.py
+++ b/stalltiller/recovery/snapshot_codec.py
@@ -1,7 +1,7 @@
-"""Encodes recovery snapshots as bytes and checks them when they are read.
+"""Encodes recovery snapshots as bytes and validates them when they are decoded.
 
-The format is a magic number, a BLAKE2b checksum of the body, and the body as JSON.  The names of the JSON
-keys belong to the stored format and differ from those of the fields.
+The format is a magic number, a BLAKE2b checksum of the body, and the body as JSON.  The JSON keys are part of
+the stored format and differ from the names of the fields.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 SNAPSHOT_VERSION = 2
 MAGIC = b"STL1"
 CHECKSUM_BYTES = 16
-MAX_CLOCK_DIFFERENCE_SECONDS = 5.0  # by which a snapshot may be ahead: clocks of machines differ a little
+MAX_CLOCK_SKEW_SECONDS = 5.0  # a snapshot may be this far in the future, as machines' clocks differ a little
 MAX_SNAPSHOT_BYTES = 4 * 1024 * 1024
-# Bounds of what is written: further entries are left out.
+# Limits on stored entries; further ones are omitted.
 MAX_LATENCY_ESTIMATES = 4096
 MAX_TOKEN_LEVELS = 20000
 MAX_SHARD_RATES = 4096
@@ -35,7 +35,7 @@
 
 
 def encode_snapshot(snapshot: RecoverySnapshot) -> bytes:
-    """Return the snapshot as bytes, preceded by a checksum."""
+    """Encode a snapshot, preceded by the magic number and a checksum."""
     baseline = snapshot.load_baseline
     body = orjson.dumps(
         {
@@ -59,9 +59,9 @@
 
 
 def decode_snapshot(data: bytes, initiator_name: str, discovery_address: str, now: float) -> RecoverySnapshot:
-    """Read a snapshot of this initiator and discovery service at the Unix time `now`.
+    """Decode a snapshot of this initiator and discovery service at the Unix time `now`.
 
-    Raises SnapshotRejectedError if it is damaged, foreign, in another format or from the future.
+    Raises SnapshotRejectedError if it is corrupt, foreign, in another format or from the future.
     """
     body = data[len(MAGIC) + CHECKSUM_BYTES :]
     header = data[: -len(body) or None]
@@ -76,7 +76,7 @@
         snapshot = _snapshot_from_json(fields)
     except (KeyError, TypeError, discovery.DiscoveryError) as error:
         raise SnapshotRejectedError(SnapshotRejectionReason.TORN) from error
-    if snapshot.saved_at > now + MAX_CLOCK_DIFFERENCE_SECONDS:
+    if snapshot.saved_at > now + MAX_CLOCK_SKEW_SECONDS:
         raise SnapshotRejectedError(SnapshotRejectionReason.FUTURE)
     return snapshot
 
--- a/stalltiller/recovery/store.py
+++ b/stalltiller/recovery/store.py
@@ -1,4 +1,4 @@
-"""Stores recovery snapshots on a durable disk, in an embedded LMDB database."""
+"""Stores recovery snapshots durably on disk, in an embedded LMDB database."""
 
 from __future__ import annotations
 
@@ -10,19 +10,18 @@
 from stalltiller.recovery.snapshot_codec import MAX_SNAPSHOT_BYTES, decode_snapshot, encode_snapshot
 
 SNAPSHOT_KEY = b"facts"
-MAP_SIZE_BYTES = 16 * MAX_SNAPSHOT_BYTES  # LMDB copies on write: room for several snapshots
+MAP_SIZE_BYTES = 16 * MAX_SNAPSHOT_BYTES  # LMDB copies on write, so several snapshots must fit
 
 
 class SnapshotStore:
     """The snapshot of one initiator in one folder.
 
-    Each `save` replaces the snapshot in one transaction that is on the disk when it returns.  `load` and
-    `save` may block on the disk, so that they must be called from another thread than that of the event loop
-    wherever requests are served.
+    Each `save` replaces the snapshot in one transaction, which is on disk when it returns.  `load` and `save`
+    may block on disk I/O; while requests are served, they must not be called on the event loop's thread.
     """
 
     def __init__(self, folder: str) -> None:
-        """Open the store, or create it.  Raises OSError."""
+        """Open or create the store.  Raises OSError."""
         try:
             Path(folder).mkdir(parents=True, exist_ok=True)
             self._environment = lmdb.open(folder, map_size=MAP_SIZE_BYTES, max_dbs=0)
@@ -45,7 +44,7 @@
         return decode_snapshot(bytes(data), initiator_name, discovery_address, now)
 
     def save(self, snapshot: RecoverySnapshot) -> None:
-        """Store a snapshot.  Raises OSError, in which case the previous snapshot is still stored."""
+        """Store a snapshot.  Raises OSError, in which case the previous snapshot is kept."""
         try:
             with self._environment.begin(write=True) as transaction:
                 transaction.put(SNAPSHOT_KEY, encode_snapshot(snapshot))
--- a/stalltiller/recovery/target_list_history.py
+++ b/stalltiller/recovery/target_list_history.py
@@ -1,6 +1,7 @@
-"""The target list as discovery last reported it, and what changed in it since this process started.
+"""The target list as discovery last reported it, and its changes since this process started.
 
-Pure and bounded.  The history lets this initiator tell a restarted peer only what is new to it.
+No I/O; bounded memory.  With the history, this initiator can send a restarted peer only the changes since the
+version that the peer knows.
 """
 
 from __future__ import annotations
@@ -10,12 +11,12 @@
 from stalltiller.protocol import discovery
 from stalltiller.scheduling import TargetStatus
 
-MAX_CHANGES = 4096  # targets whose last change is remembered for peers
+MAX_CHANGES = 4096  # limit on targets whose last change is kept for peers
 
 
 @dataclass(slots=True, frozen=True)
 class _VersionedChange:
-    """The last state of a target, and the version of the list that brought it."""
+    """The last state of a target, and the version of the list that reported it first."""
 
     version: int
     target: discovery.TargetRecord
@@ -27,24 +28,24 @@
     def __init__(self) -> None:
         self._version = 0
         self._targets: dict[str, discovery.TargetRecord] = {}
-        self._complete_since = 0  # the version from which on all changes are known
-        self._changes: dict[str, _VersionedChange] = {}  # by target name, in the order of the versions
+        self._complete_since = 0  # all changes after this version are known
+        self._changes: dict[str, _VersionedChange] = {}  # by target name, ordered by version
 
     @property
     def version(self) -> int:
-        """The version of the current list, or 0 before there is one."""
+        """The version of the current list, or 0 before the first list."""
         return self._version
 
     @property
     def target_list(self) -> discovery.TargetList | None:
-        """The complete current list, or None before there is one."""
+        """The complete current list, or None before the first list."""
         if not self._version:
             return None
         targets = tuple(self._targets[name] for name in sorted(self._targets))
         return discovery.TargetList(self._version, True, targets)
 
     def apply(self, update: discovery.TargetList) -> None:
-        """Apply an answer of discovery, which is either a complete list or a list of changes."""
+        """Apply a response of discovery, which is either a full list or a list of changes."""
         targets = self._updated_targets(update)
         if not self._version or update.version < self._version:  # the first list, or a new numbering
             self._complete_since = update.version
@@ -58,14 +59,14 @@
         self._targets = targets
 
     def clear(self) -> None:
-        """Forget everything, because another discovery service numbers its own versions."""
+        """Discard everything, because another discovery service numbers its versions independently."""
         self._version = 0
         self._complete_since = 0
         self._targets = {}
         self._changes = {}
 
     def changes_since(self, version: int) -> list[discovery.TargetRecord] | None:
-        """Return the targets that changed after a version in their last state, or None if unknown."""
+        """Return the last state of the targets that changed after a version, or None if unknown."""
         if not 0 < self._complete_since <= version <= self._version:
             return None
         return [change.target for change in self._changes.values() if change.version > version]
@@ -84,5 +85,5 @@
             previous = self._targets.get(name)
             current = targets.get(name) or replace(self._targets[name], status=TargetStatus.REMOVED)
             if current != previous:
-                self._changes.pop(name, None)  # so that the dictionary stays in the order of the versions
+                self._changes.pop(name, None)  # keeps the dictionary ordered by version
                 self._changes[name] = _VersionedChange(version, current)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""The recovery snapshot: its encoding, what of it may be used after a restart, and the recovery phases."""
+"""Recovery snapshots: their encoding, which of their parts a restart may use, and the recovery phases."""
 
 from __future__ import annotations
 
@@ -67,12 +67,12 @@
         (ENCODED, "n1", ADDRESS, NOW - 60, "future"),
     ],
 )
-def test_torn_foreign_and_future_snapshots_are_rejected(data, name, address, now, reason):
+def test_truncated_corrupt_foreign_and_future_snapshots_are_rejected(data, name, address, now, reason):
     with pytest.raises(SnapshotRejectedError, match=reason):
         decode_snapshot(data, name, address, now)
 
 
-def test_snapshot_of_another_version_is_rejected(monkeypatch):
+def test_snapshot_of_another_format_version_is_rejected(monkeypatch):
     monkeypatch.setattr("stalltiller.recovery.snapshot_codec.SNAPSHOT_VERSION", 99)
     data = encode_snapshot(SNAPSHOT)
     monkeypatch.undo()
@@ -81,7 +81,7 @@
 
 
 @given(st.binary(max_size=300), st.integers(0, 400), st.integers(0, 255))
-def test_arbitrary_bytes_and_any_changed_byte_are_rejected(data, position, byte):
+def test_arbitrary_bytes_and_snapshots_with_a_changed_byte_are_rejected(data, position, byte):
     encoded = bytearray(encode_snapshot(SNAPSHOT))
     is_changed = encoded[position % len(encoded)] != byte
     encoded[position % len(encoded)] = byte
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize(
-    ("age", "is_clean_shutdown", "kinds"),
+    ("age", "is_clean_shutdown", "expected_usable"),
     [
         (1.0, True, (True, True, True)),
         (1.0, False, (True, True, False)),
@@ -100,63 +100,68 @@
         (700.0, True, (False, False, True)),
     ],
 )
-def test_each_part_of_a_snapshot_expires_at_its_own_age(age, is_clean_shutdown, kinds):
-    usable = discard_expired(replace(SNAPSHOT, is_clean_shutdown=is_clean_shutdown), NOW + age)
+def test_each_part_of_a_snapshot_expires_at_its_own_age(age, is_clean_shutdown, expected_usable):
+    remaining = discard_expired(replace(SNAPSHOT, is_clean_shutdown=is_clean_shutdown), NOW + age)
     assert (
-        usable.target_list is not None,
-        usable.latency_estimates != (),
-        usable.token_levels != (),
-    ) == kinds
+        remaining.target_list is not None,
+        remaining.latency_estimates != (),
+        remaining.token_levels != (),
+    ) == expected_usable
 
 
 LIMITED = plan(name="basic", limit=20.0, burst=40.0)
-processes = st.lists(
+process_lifetimes = st.lists(
     st.tuples(st.floats(0.01, 5.0), st.floats(0.0, 5.0), st.booleans(), st.floats(0.0, 1.0)),
     min_size=1,
     max_size=8,
 )
 
 
-@given(processes)
-def test_restarted_processes_consume_no_more_than_one_bucket_that_never_restarted(script):
-    """Each process runs for a time, consumes a part of its bucket at its end, stops cleanly or is killed, and
-    is down for a time.  The level of a killed process must not be used."""
-    now, true_level, true_at, stored = 0.0, LIMITED.burst, 0.0, None
-    for run_time, down_time, is_clean_shutdown, consumed_fraction in script:
-        level = 0.0 if stored is None else initial_token_level(stored, LIMITED, now)
+@given(process_lifetimes)
+def test_restarted_processes_consume_no_more_than_one_bucket_that_is_never_restarted(lifetimes):
+    """Each process runs, consumes a part of its bucket, shuts down cleanly or is killed, and stays down for a
+    time.  The token level of a killed process must not be used."""
+    now, reference_level, refilled_at, stored_level = 0.0, LIMITED.burst, 0.0, None
+    for run_time, down_time, is_clean_shutdown, consumed_fraction in lifetimes:
+        level = 0.0 if stored_level is None else initial_token_level(stored_level, LIMITED, now)
         now += run_time
         level = min(LIMITED.burst, level + LIMITED.limit * run_time)
-        true_level, true_at = min(LIMITED.burst, true_level + LIMITED.limit * (now - true_at)), now
-        true_level -= consumed_fraction * level
-        assert true_level >= -1e-6
+        reference_level, refilled_at = (
+            min(LIMITED.burst, reference_level + LIMITED.limit * (now - refilled_at)),
+            now,
+        )
+        reference_level -= consumed_fraction * level
+        assert reference_level >= -1e-6
         remaining = level * (1 - consumed_fraction)
-        stored = VolumeTokenLevel(1, "basic", 1, remaining, now) if is_clean_shutdown else None
+        stored_level = VolumeTokenLevel(1, "basic", 1, remaining, now) if is_clean_shutdown else None
         now += down_time
 
 
 def test_latency_estimates_and_token_levels_are_restored_in_the_next_process():
-    old, new = (SchedulerHarness((entry(1, started_at=5.0), entry(2)), plans=(LIMITED,)) for _ in range(2))
-    old.feed(20.0, request(1, units=4.0))
-    old.feed(20.1, outcome(1, latency=0.1))
-    estimates, levels = capture_state(old.scheduler, 20.1, NOW)
+    previous, restarted = (
+        SchedulerHarness((entry(1, started_at=5.0), entry(2)), plans=(LIMITED,)) for _ in range(2)
+    )
+    previous.feed(20.0, request(1, units=4.0))
+    previous.feed(20.1, outcome(1, latency=0.1))
+    estimates, levels = capture_state(previous.scheduler, 20.1, NOW)
     assert [(estimate.target_name, estimate.target_started_at) for estimate in estimates] == [
         ("1", NOW + 5.0),
         ("2", None),
     ]
     assert levels[0].units > 0
-    new.scheduler.targets = {str(name): target for name, target in new.scheduler.targets.items()}
-    # The first target has restarted meanwhile.
+    restarted.scheduler.targets = {str(name): target for name, target in restarted.scheduler.targets.items()}
+    # The first target has restarted since the capture, so its estimate must not be restored.
     estimates = (replace(estimates[0], target_started_at=NOW), estimates[1])
-    latency_before = new.scheduler.targets["1"].latency
+    latency_before = restarted.scheduler.targets["1"].latency
     restored = restore_state(
-        new.scheduler, replace(SNAPSHOT, latency_estimates=estimates, token_levels=levels), 22.1, NOW
+        restarted.scheduler, replace(SNAPSHOT, latency_estimates=estimates, token_levels=levels), 22.1, NOW
     )
     assert restored._asdict() == {"latency_estimates": 1, "token_levels": 1}
-    assert new.scheduler.targets["1"].latency == latency_before
-    assert new.scheduler.volumes[1].limit.level == pytest.approx(min(levels[0].units, 40.0))
+    assert restarted.scheduler.targets["1"].latency == latency_before
+    assert restarted.scheduler.volumes[1].limit.level == pytest.approx(min(levels[0].units, 40.0))
 
 
-def test_target_list_history_holds_the_list_as_last_reported():
+def test_target_list_history_holds_the_last_reported_list():
     history = TargetListHistory()
     assert history.target_list is None
     history.apply(discovery.TargetList(1, True, (TARGET, replace(TARGET, name="s-2"))))
@@ -165,19 +170,20 @@
 
 
 @pytest.mark.parametrize(
-    ("served_from", "previous_fraction", "full_after"), [(1.0, None, 2.0), (5.0, None, 6.0), (0.5, 0.5, 1.5)]
+    ("all_served_after", "previous_served_fraction", "full_after"),
+    [(1.0, None, 2.0), (5.0, None, 6.0), (0.5, 0.5, 1.5)],
 )
 def test_service_is_full_once_the_previous_fraction_is_served_for_two_seconds(
-    served_from, previous_fraction, full_after
+    all_served_after, previous_served_fraction, full_after
 ):
-    """Ten requests are answered per second; from a time on all are served, half of them before."""
-    phases, served = RecoveryPhaseTracker(0.0, previous_fraction), 0
-    assert phases.mark_ready()
-    assert not phases.mark_ready()
-    for tick in range(1, 150):
-        now = tick / 10
-        served += now > served_from or tick % 2
-        if phases.record_counts(now, tick, served):
+    """Ten requests finish per second; half of them are served until `all_served_after`, then all."""
+    phase_tracker, served = RecoveryPhaseTracker(0.0, previous_served_fraction), 0
+    assert phase_tracker.mark_ready()
+    assert not phase_tracker.mark_ready()
+    for finished in range(1, 150):
+        now = finished / 10
+        served += now > all_served_after or finished % 2
+        if phase_tracker.record_counts(now, finished, served):
             break
-    assert phases.phase == "full"
-    assert full_after - 1.2 <= phases.full_after <= full_after + 0.3
+    assert phase_tracker.phase == "full"
+    assert full_after - 1.2 <= phase_tracker.full_after <= full_after + 0.3
