--- a/stalltiller/daemon/fleet_participation.py
+++ b/stalltiller/daemon/fleet_participation.py
@@ -1,6 +1,6 @@
-"""This initiator as a member of a fleet: membership, shared budgets and leases.
+"""Runs this initiator as a member of a fleet: membership, shared budgets and leases.
 
-The platform's start does not load this module.
+Not loaded on the platform, which configures no fleet.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class FleetParticipation:
-    """Owns the membership agent and what runs on top of it."""
+    """Owns the membership agent and the services that use it."""
 
     def __init__(
         self,
@@ -48,15 +48,15 @@
         )
         self.shared_budgets: SharedBudgets | None = None
         self.lease_service: LeaseService | None = None
-        self._leaving: asyncio.Task[None] | None = None
+        self._leave_task: asyncio.Task[None] | None = None
 
     async def join(self, recovery: RecoveryService | None, lease_config: LeaseConfig | None) -> None:
-        """Open the agent and start the services; raises OSError."""
+        """Open the agent and start the services; raises OSError if the address cannot be bound."""
         settings = self._engine.settings
         await self.agent.open()
         if recovery is not None:
             recovery.join_fleet(self.agent)
-        if self._config.share:
+        if self._config.shares_budgets:
             self.shared_budgets = SharedBudgets(
                 self.agent,
                 settings.initiator_count,
@@ -70,11 +70,11 @@
             self.lease_service = LeaseService(self._name, lease_config, self.agent, self._log)
 
     def leave(self) -> None:
-        """Announce to the other members that this one leaves; it serves on meanwhile."""
-        if self._leaving is None:
+        """Announce in the background that this member leaves; it continues to serve requests."""
+        if self._leave_task is None:
             if self.lease_service is not None:
                 self.lease_service.release()
-            self._leaving = self._tasks.start(self.agent.leave())
+            self._leave_task = self._tasks.start(self.agent.leave())
 
     def totals(self) -> dict[str, float]:
         """Return the fleet's totals for metrics, if this member holds the lease to report them."""
--- a/stalltiller/fleet/__init__.py
+++ b/stalltiller/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Membership of a fleet: which initiators run beside this one.
+"""Fleet membership: tracks which initiators are running.
 
 `Swim` is the membership protocol without I/O, `membership_agent.MembershipAgent` runs it on sockets, and
 `shared_budgets.SharedBudgets` lends budgets between members.  The request path never waits for any of them.
--- a/stalltiller/fleet/codec.py
+++ b/stalltiller/fleet/codec.py
@@ -1,4 +1,4 @@
-"""Encoding of messages as protobuf; whatever is decoded is checked against bounds.  No I/O."""
+"""Encodes messages as protobuf; decoding checks every field against its bounds.  No I/O."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from stalltiller.fleet.member_table import Member, MemberState
 from stalltiller.fleet.messages import Packet, PacketKind, PushPullSync
 
-MAX_DATAGRAM_BYTES = 1400  # one Ethernet frame with its headers
-MAX_SYNC_BYTES = 512 * 1024  # room for all members of a table of the default size
+MAX_DATAGRAM_BYTES = 1400  # fits one Ethernet frame including its headers
+MAX_SYNC_BYTES = 512 * 1024  # holds a full member table of the default size
 MAX_NAME_CHARACTERS = 48
 MAX_ZONE_CHARACTERS = 24
-MAX_HOST_CHARACTERS = 45  # the longest text of an IPv6 address
+MAX_HOST_CHARACTERS = 45  # the longest textual IPv6 address
 MAX_KEY_CHARACTERS = 64
-MAX_BUDGET_MESSAGES = 10  # what fits into a datagram with the longest keys
+MAX_BUDGET_MESSAGES = 10  # with the longest keys, this many fit into one datagram
 MAX_PEER_MESSAGE_BYTES = 64
 MAX_PORT = 65535
 
 
 class RejectionReason(enum.StrEnum):
-    """Why a message was dropped; the values are keys of the counts that operators read."""
+    """Why a message was dropped; the values are names of counters that operators read."""
 
     MALFORMED = "malformed"
     FOREIGN = "foreign"
@@ -36,7 +36,7 @@
 
 
 class MalformedMessageError(ValueError):
-    """The received bytes are no message of this fleet, for `reason`."""
+    """Received bytes that are not a valid message of this fleet; `reason` says why."""
 
     def __init__(self, reason: RejectionReason) -> None:
         super().__init__(reason.value)
@@ -98,7 +98,7 @@
 
 
 def _decode_budget_message(message: pb.BudgetMessage) -> BudgetRequest | BudgetGrant:
-    # The comparison also rejects a fraction that is not a number.
+    # The range comparison also rejects a NaN fraction.
     if not 0 < len(message.key) <= MAX_KEY_CHARACTERS or not 0.0 <= message.fraction <= 1.0:
         raise MalformedMessageError(RejectionReason.BUDGET_MESSAGE)
     if message.is_grant:
@@ -116,7 +116,7 @@
 
 
 def encode_packet(fleet: str, packet: Packet) -> bytes:
-    """Encode one datagram, with as many of its updates as fit."""
+    """Encode a datagram with as many of the packet's updates as fit."""
     message = pb.Packet(
         fleet=fleet,
         sender=_encode_member(packet.sender),
@@ -172,7 +172,7 @@
 
 
 def encode_sync(fleet: str, sync: PushPullSync) -> bytes:
-    """Encode a push-pull synchronisation, without its length."""
+    """Encode a push-pull synchronisation, without its length prefix."""
     message = pb.PushPullSync(
         fleet=fleet,
         sender=_encode_member(sync.sender),
--- a/stalltiller/fleet/config.py
+++ b/stalltiller/fleet/config.py
@@ -1,4 +1,4 @@
-"""The [fleet] section of an operator's file."""
+"""Parses the [fleet] section of an operator's configuration file."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from stalltiller.fleet.member_table import Address
 from stalltiller.fleet.swim_settings import SwimSettings
 
-DURATION_FIELDS = {  # key in the operator's file: field of SwimSettings, both in seconds
+# Maps a key in the operator's file to the field of SwimSettings; both are in seconds.
+DURATION_FIELDS = {
     "probe_every_s": "probe_interval_seconds",
     "probe_timeout_s": "probe_timeout_seconds",
     "gossip_every_s": "gossip_interval_seconds",
@@ -17,7 +18,7 @@
     "rejoin_every_s": "rejoin_interval_seconds",
     "forget_after_s": "forget_after_seconds",
 }
-MIN_DURATION_SECONDS = 0.01  # shorter ones would keep the event loop busy with membership alone
+MIN_DURATION_SECONDS = 0.01  # shorter intervals would keep the event loop busy with membership traffic
 MAX_DURATION_SECONDS = 3600
 
 
@@ -26,18 +27,19 @@
     """The settings of one member of a fleet."""
 
     fleet: str
-    listen: Address  # UDP and TCP
-    advertise: Address  # where the other members reach this one
+    listen: Address  # bound for both UDP and TCP
+    advertise: Address  # address at which the other members reach this one
     zone: str
     settings: SwimSettings
-    share: bool = True  # whether budgets of warming targets are lent by need, not estimated by each member
-    clock_offset: float = 0.0  # seconds added to the machine's clock, for tests
+    # Whether members lend each other the budgets of warming targets; otherwise each estimates its own share.
+    shares_budgets: bool = True
+    clock_offset_seconds: float = 0.0  # added to the system clock, for tests
 
 
 def _parse_address(text: object) -> Address:
     host, _, port = str(text).rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"fleet: not an address: {text!r}")
+        raise ValueError(f"fleet: invalid address {text!r}, expected HOST:PORT")
     return host, int(port)
 
 
@@ -46,15 +48,15 @@
     for key, duration in durations.items():
         if not MIN_DURATION_SECONDS <= duration <= MAX_DURATION_SECONDS:
             raise ValueError(
-                f"fleet: {key} must lie between {MIN_DURATION_SECONDS} and {MAX_DURATION_SECONDS}"
+                f"fleet: {key} must be between {MIN_DURATION_SECONDS} and {MAX_DURATION_SECONDS} seconds"
             )
     return {DURATION_FIELDS[key]: duration for key, duration in durations.items()}
 
 
 def fleet_config(data: Mapping[str, Any], zone: str) -> FleetConfig:
-    """Read the section; raises ValueError or KeyError with the offending key.
+    """Parse the section; raises KeyError for a missing key and ValueError for an invalid value.
 
-    `zone` is this initiator's zone, unless the section names another.
+    `zone` is the default for a section without a zone.
     """
     listen = _parse_address(data["listen"])
     fields: dict[str, Any] = dict(_parse_durations(data))
@@ -62,13 +64,13 @@
         fields["max_members"] = int(data["most_members"])
     settings = SwimSettings(seeds=tuple(map(_parse_address, data.get("seeds", []))), **fields)
     if settings.probe_timeout_seconds >= settings.probe_interval_seconds:
-        raise ValueError("fleet: probe_timeout_s must be under probe_every_s")
+        raise ValueError("fleet: probe_timeout_s must be less than probe_every_s")
     return FleetConfig(
         fleet=str(data["name"]),
         listen=listen,
         advertise=_parse_address(data.get("advertise", data["listen"])),
         zone=str(data.get("zone", zone)),
         settings=settings,
-        share=bool(data.get("share", True)),
-        clock_offset=float(data.get("clock_offset_s", 0.0)),
+        shares_budgets=bool(data.get("share", True)),
+        clock_offset_seconds=float(data.get("clock_offset_s", 0.0)),
     )
--- a/stalltiller/fleet/gossip.py
+++ b/stalltiller/fleet/gossip.py
@@ -1,4 +1,4 @@
-"""Membership updates that still have to be gossiped, and how often each was sent.  No I/O."""
+"""Queue of membership updates to gossip, with a transmission count for each.  No I/O."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 @dataclass(slots=True)
 class _QueuedUpdate:
-    """A member's newest state and the number of packets that carried it."""
+    """A member's newest state and the number of packets that have carried it."""
 
     member: Member
     transmissions: int = 0
 
 
 class GossipQueue:
-    """The newest update on each member, sent a bounded number of times.
+    """Holds the newest update about each member until it has been sent a bounded number of times.
 
     An update is sent `retransmit_multiplier * ceil(log10(members + 1))` times: enough to reach all members
-    with high probability, and no more, so that the load of a member does not grow with the fleet (SWIM,
-    section 4.1).
+    with high probability, and no more, so that the gossip load of a member does not grow with the fleet
+    (SWIM, section 4.1).
     """
 
     def __init__(self, retransmit_multiplier: int) -> None:
@@ -33,11 +33,11 @@
         return len(self._updates)
 
     def add(self, member: Member) -> None:
-        """Queue an update; it replaces an earlier one on the same member."""
+        """Queue an update; it replaces a queued update about the same member."""
         self._updates[member.name] = _QueuedUpdate(member)
 
     def next_updates(self, max_updates: int, member_count: int) -> tuple[Member, ...]:
-        """Return at most `max_updates` updates for one packet, those sent least often first."""
+        """Return at most `max_updates` updates for one packet, the least transmitted first."""
         limit = self._retransmit_multiplier * math.ceil(math.log10(member_count + 1))
         queued = ((update.transmissions, name) for name, update in self._updates.items())
         selected = []
--- a/stalltiller/fleet/local_health.py
+++ b/stalltiller/fleet/local_health.py
@@ -7,30 +7,30 @@
 
 import math
 
-MAX_HEALTH_SCORE = 8  # Lifeguard's own bound: probes become at most nine times slower
+MAX_HEALTH_SCORE = 8  # Lifeguard's bound: probes become at most nine times slower
 
 
 class LocalHealth:
-    """How far this member trusts its own view; a score of 0 is healthy.
+    """Scores how far this member trusts its own view; 0 is healthy.
 
-    Each point makes probes wait longer for an answer and come less often.
+    Each point lengthens the probe timeout and the probe interval.
     """
 
     def __init__(self) -> None:
         self.score = 0
 
     def adjust(self, change: int) -> None:
-        """Add `change` (negative: healthier) to the score, within 0 and `MAX_HEALTH_SCORE`."""
+        """Add `change` (negative: healthier) to the score, clamped to 0 and `MAX_HEALTH_SCORE`."""
         self.score = max(0, min(MAX_HEALTH_SCORE, self.score + change))
 
     @property
     def multiplier(self) -> int:
-        """What probe intervals and probe timeouts are multiplied by."""
+        """The factor by which probe intervals and probe timeouts are extended."""
         return self.score + 1
 
 
 class Suspicion:
-    """One suspected member: it is declared dead at `deadline`, earlier the more members confirm this.
+    """A suspected member, declared dead at `deadline`; each confirmation by another member moves it earlier.
 
     Durations are in seconds.  `expected_confirmations` confirmations shorten the timeout to `min_timeout`.
     """
@@ -40,13 +40,13 @@
     ) -> None:
         self.started_at = now
         self.reporters = {reporter}
-        self.stalled_seconds = 0.0  # time in which this process itself did not run
+        self.stalled_seconds = 0.0  # time during which this process did not run
         self._min_timeout = min_timeout
         self._max_timeout = max_timeout
         self._expected_confirmations = expected_confirmations
 
     def confirm(self, reporter: str) -> bool:
-        """Add a confirmation; return whether it counts (one a member, and no more than are expected)."""
+        """Add a confirmation; return whether it counts: one for each member, up to the expected number."""
         if reporter in self.reporters or len(self.reporters) > self._expected_confirmations:
             return False
         self.reporters.add(reporter)
@@ -54,7 +54,7 @@
 
     @property
     def deadline(self) -> float:
-        """The time at which the member is declared dead, by the clock that the suspicion was started with."""
+        """The time at which the member is declared dead, on the clock that started the suspicion."""
         confirmations = len(self.reporters) - 1
         if self._expected_confirmations < 1:
             timeout = self._min_timeout
--- a/stalltiller/fleet/member_table.py
+++ b/stalltiller/fleet/member_table.py
@@ -1,6 +1,6 @@
-"""Members of a fleet and the table of what one member knows of all.  No I/O.
+"""Members of a fleet, and the table of one member's view of all of them.  No I/O.
 
-`Swim` owns the table; other parts only read it.
+`Swim` owns the table; other components only read it.
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple
 
-Address = tuple[str, int]  # host and port, as the socket functions take them
+Address = tuple[str, int]  # host and port, in the form that socket functions take
 
 UNKNOWN_INITIATOR_INDEX = -1
 
 
 class MemberState(enum.IntEnum):
-    """State of a member; of the same start time and incarnation, the higher value takes precedence."""
+    """State of a member; with equal start time and incarnation, the higher value takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -24,7 +24,7 @@
 
 
 class Precedence(NamedTuple):
-    """What orders the updates on one member: the higher one takes precedence."""
+    """Sort key of updates about one member: the update with the greater key takes precedence."""
 
     start_time_ms: int
     incarnation: int
@@ -33,10 +33,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """One member, as some member knows it.
+    """The state of one member as some member knows it.
 
-    `start_time_ms` is the Unix time of its process's start: a restarted process has a later one under the
-    same name.  `incarnation` is SWIM's counter: the member alone raises it, when it refutes a suspicion.
+    `start_time_ms` is the Unix time at which its process started: after a restart, the same name has a later
+    one.  `incarnation` is SWIM's counter, which only the member itself raises, to refute a suspicion.
     """
 
     name: str
@@ -46,44 +46,45 @@
     incarnation: int = 0
     state: MemberState = MemberState.ALIVE
     protocol: int = 1
-    load: int = 0  # open requests, for information: no part of the precedence
-    reported_by: str = ""  # the member that suspects it or declared it dead
+    load: int = 0  # open requests; informational, not part of the precedence
+    reported_by: str = ""  # name of the member that reported the suspicion or declared the death
     initiator_index: int = UNKNOWN_INITIATOR_INDEX
 
     @property
     def precedence(self) -> Precedence:
-        """What orders updates; it alone decides, so members that receive the same updates agree."""
+        """The only criterion that orders updates, so members that receive the same updates agree."""
         return Precedence(self.start_time_ms, self.incarnation, self.state)
 
     @property
     def is_running(self) -> bool:
-        """Whether the member is alive or only suspected."""
+        """Whether the member is alive or suspect."""
         return self.state <= MemberState.SUSPECT
 
     def with_state(self, state: MemberState, reported_by: str = "") -> Member:
-        """Return this member in another state, as reported by a member."""
+        """Return a copy of this member in another state, as reported by member `reported_by`."""
         return replace(self, state=state, reported_by=reported_by)
 
 
 class MemberTable:
-    """What one member knows of all members, itself included; at most `max_members` names.
+    """One member's view of all members including itself; holds at most `max_members` names.
 
-    A join semilattice: `merge` keeps the update of higher precedence, so the order of updates and their
-    repetition make no difference.
+    The table is a join semilattice: `merge` keeps the update of higher precedence, so reordered and repeated
+    updates give the same result.
     """
 
-    def __init__(self, me: Member, max_members: int) -> None:
-        self.me = me
-        self.known: dict[str, Member] = {me.name: me}
-        self.state_changed_at: dict[str, float] = {me.name: 0.0}  # on this member's clock
-        self.rejected_count = 0  # names rejected as the table was full
+    def __init__(self, local_member: Member, max_members: int) -> None:
+        self.local_member = local_member
+        self.known: dict[str, Member] = {local_member.name: local_member}
+        self.state_changed_at: dict[str, float] = {local_member.name: 0.0}  # on this member's clock
+        self.rejected_count = 0  # updates with an unknown name, rejected because the table was full
         self._max_members = max_members
-        self._running_others: list[Member] | None = None  # cache of `others`; None: to be computed
+        self._running_others: list[Member] | None = None  # cache of `others`; None: invalidated
 
     def merge(self, now: float, update: Member) -> bool:
-        """Merge an update on another member; return whether it changed the table.
+        """Merge an update about another member; return whether it changed the table.
 
-        An unknown name is added only while it runs: dead and departed members would only come back.
+        An unknown name is added only if it is running: otherwise late updates would bring back members that
+        are dead or have left and were already forgotten.
         """
         known = self.known.get(update.name)
         if known is not None and update.precedence <= known.precedence:
@@ -104,10 +105,10 @@
             return False
         return True
 
-    def set_me(self, me: Member) -> None:
-        """Replace the entry of this member itself."""
-        self.me = me
-        self.known[me.name] = me
+    def set_local_member(self, local_member: Member) -> None:
+        """Replace this member's own entry."""
+        self.local_member = local_member
+        self.known[local_member.name] = local_member
 
     def remove(self, name: str) -> None:
         """Forget a member; raises KeyError if it is not known."""
@@ -116,7 +117,7 @@
         self._running_others = None
 
     def update_load(self, name: str, start_time_ms: int, load: int) -> None:
-        """Set a member's load as it reported it itself, unless the report is of another process."""
+        """Set the load that a member reported of itself; ignored if another process of that name sent it."""
         known = self.known.get(name)
         if known is not None and known.start_time_ms == start_time_ms and known.load != load:
             self.known[name] = replace(known, load=load)
@@ -124,25 +125,25 @@
 
     @property
     def others(self) -> list[Member]:
-        """All other running members, suspected ones too, by name."""
+        """All other running members, including suspects, sorted by name."""
         if self._running_others is None:
             self._running_others = [
                 self.known[name]
                 for name in sorted(self.known)
-                if name != self.me.name and self.known[name].is_running
+                if name != self.local_member.name and self.known[name].is_running
             ]
         return self._running_others
 
     @property
     def stopped_members(self) -> list[Member]:
-        """The remembered members that are dead or have left, by name."""
+        """The known members that are dead or have left, sorted by name."""
         return [
             self.known[name]
             for name in sorted(self.known)
-            if name != self.me.name and not self.known[name].is_running
+            if name != self.local_member.name and not self.known[name].is_running
         ]
 
     @property
     def running_count(self) -> int:
-        """The number of running members, this one included."""
+        """The number of running members, including this one."""
         return len(self.others) + 1
--- a/stalltiller/fleet/membership_agent.py
+++ b/stalltiller/fleet/membership_agent.py
@@ -1,7 +1,7 @@
-"""One member on sockets: datagrams over UDP, push-pull synchronisations over TCP at the same address.
+"""Network side of one member: UDP datagrams, and push-pull synchronisations over TCP at the same address.
 
 The agent owns the sockets, the timer and the connections; `Swim` decides what is sent.  The request path
-never waits for it.
+never waits for the agent.
 """
 
 from __future__ import annotations
@@ -33,19 +33,20 @@
 from stalltiller.transport.buffers import BufferPool
 from stalltiller.transport.connection import Connection
 
-LENGTH_PREFIX = struct.Struct(">I")  # number of bytes of the synchronisation that follows
-SYNC_TIMEOUT_SECONDS = 2.0  # many round trips: a member that takes longer is as good as unreachable
-MAX_SYNCS = 8  # at once, in each direction; each may hold a whole table in memory
-MAX_PACKETS_PER_SECOND = 2000  # received; more are dropped and counted, so that a flood leaves processor time
-LEAVE_GOSSIP_SECONDS = 0.3  # for which the departure is gossiped before the process goes on to stop
+LENGTH_PREFIX = struct.Struct(">I")  # length in bytes of the encoded state that follows
+SYNC_TIMEOUT_SECONDS = 2.0  # many round trips: a member that takes longer counts as unreachable
+MAX_CONCURRENT_SYNCS = 8  # limit in each direction, as each synchronisation may hold a whole table in memory
+# Datagrams received above this rate are dropped and counted, so that a flood leaves processor time.
+MAX_PACKETS_PER_SECOND = 2000
+LEAVE_GOSSIP_SECONDS = 0.3  # time that `leave` waits while the departure is gossiped
 
 Log = Callable[..., None]
 
 
 class PushPullConnection(Connection):
-    """One synchronisation: the client sends its state first, and both close after the answer.
+    """One synchronisation: the client sends its state, the server responds with its own, and both close.
 
-    `state` is the encoded state to be sent by the client; None on the server side.
+    `state` is the encoded state that the client sends; None on the server side.
     """
 
     def __init__(self, agent: MembershipAgent, state: bytes | None) -> None:
@@ -56,7 +57,7 @@
         self._deadline: asyncio.TimerHandle | None = None
 
     def on_connected(self) -> None:
-        """Send the state (client) or reserve a place among the synchronisations (server)."""
+        """Send the state (client), or register the synchronisation within the limit (server)."""
         self._deadline = asyncio.get_running_loop().call_later(SYNC_TIMEOUT_SECONDS, self.abort)
         if self._state is not None:
             self.write(self._state)
@@ -64,7 +65,7 @@
             self.abort()
 
     def on_data(self, data: memoryview) -> int:
-        """Collect the peer's state; once it is complete, handle it and close."""
+        """Buffer the peer's state; handle it and close once it is complete."""
         self._received += data
         if len(self._received) >= LENGTH_PREFIX.size:
             size = LENGTH_PREFIX.unpack_from(self._received)[0]
@@ -76,13 +77,13 @@
         return len(data)
 
     def _handle_state(self, data: bytes) -> None:
-        answer = self._agent.handle_sync(data)
-        if self._state is None and answer is not None:
-            self.write(answer)
+        response = self._agent.handle_sync(data)
+        if self._state is None and response is not None:
+            self.write(response)
         self.close()
 
     def on_disconnected(self, _error: Exception | None) -> None:
-        """Release the timer and the place among the synchronisations."""
+        """Cancel the timeout and unregister the synchronisation."""
         if self._deadline is not None:
             self._deadline.cancel()
         self._agent.release_sync(self)
@@ -91,8 +92,8 @@
 class MembershipAgent(asyncio.DatagramProtocol):
     """Runs `Swim` on sockets.
 
-    `load` returns the number of open requests, which is gossiped.  Other parts receive datagrams of their
-    kind by an entry in `handlers`.
+    `load` returns the number of open requests, which is gossiped.  Other components register in `handlers`
+    to receive datagrams of their kind.
     """
 
     def __init__(
@@ -109,15 +110,15 @@
         self._log = log
         self._load = load
         self._loop = asyncio.get_running_loop()
-        me = Member(
+        local_member = Member(
             name,
             config.advertise,
             config.zone,
-            start_time_ms=int((time.time() + config.clock_offset) * 1000),
+            start_time_ms=int((time.time() + config.clock_offset_seconds) * 1000),
             initiator_index=initiator_index,
         )
-        self.swim = Swim(config.settings, me, random.Random(), self._loop.time())
-        self.dropped: Counter[str] = Counter()  # messages, by reason
+        self.swim = Swim(config.settings, local_member, random.Random(), self._loop.time())
+        self.dropped: Counter[str] = Counter()  # received messages that were dropped, by reason
         self.sent_bytes = 0
         self.sent_packets = 0
         self.handlers: dict[PacketKind, Callable[[Packet], None]] = {}
@@ -130,7 +131,7 @@
         self._client_syncs: set[asyncio.Task[None]] = set()
 
     async def open(self) -> None:
-        """Listen and start the protocol; raises OSError if the address cannot be bound."""
+        """Bind the sockets and start the protocol; raises OSError if the address cannot be bound."""
         host, port = self.config.listen
         self._server = await self._loop.create_server(lambda: PushPullConnection(self, None), host, port)
         self._transport, _ = await self._loop.create_datagram_endpoint(lambda: self, (host, port))
@@ -143,14 +144,14 @@
         self._schedule_tick()
 
     async def leave(self) -> None:
-        """Announce to the others that this member leaves, and wait while that is gossiped."""
+        """Announce to the other members that this one leaves, and wait while that is gossiped."""
         if not self.swim.has_left:
             self._execute(self.swim.leave(self._loop.time()))
             self._log("fleet_left", start_time_ms=self.swim.me.start_time_ms)
             await asyncio.sleep(LEAVE_GOSSIP_SECONDS)
 
     def close(self) -> None:
-        """Stop at once, without an announcement, and close all sockets."""
+        """Stop without an announcement, and close all sockets."""
         if self._timer is not None:
             self._timer.cancel()
         for task in self._client_syncs:
@@ -164,11 +165,11 @@
 
     # --- Status for operators -------------------------------------------------------------------------
     def status(self) -> MembershipStatus:
-        """This member's view of its fleet and of itself."""
+        """Return this member's view of its fleet and of itself."""
         table = self.swim.table
         return MembershipStatus(
             fleet=self.config.fleet,
-            me=table.me,
+            local_member=table.local_member,
             running_count=table.running_count,
             stopped_count=len(table.stopped_members),
             health_score=self.swim.health.score,
@@ -180,7 +181,7 @@
         )
 
     def members(self) -> list[MemberStatus]:
-        """All known members, this one included, by name."""
+        """Return all known members, including this one, sorted by name."""
         return [MemberStatus.of(member) for _, member in sorted(self.swim.table.known.items())]
 
     # --- Actions of the protocol ----------------------------------------------------------------------
@@ -217,12 +218,12 @@
         data = codec.encode_packet(self.config.fleet, packet)
         self.sent_packets += 1
         self.sent_bytes += len(data)
-        transport = cast(asyncio.DatagramTransport, self._transport)  # nothing is sent before `open`
-        with contextlib.suppress(OSError):  # an address without a route: the datagram is lost
+        transport = cast(asyncio.DatagramTransport, self._transport)  # set by `open`, before anything is sent
+        with contextlib.suppress(OSError):  # such as an address without a route: the datagram is lost
             transport.sendto(data, address)
 
     def _start_sync(self, address: Address) -> None:
-        if len(self._client_syncs) >= MAX_SYNCS:
+        if len(self._client_syncs) >= MAX_CONCURRENT_SYNCS:
             return
         task = self._loop.create_task(self._connect_sync(address))
         self._client_syncs.add(task)
@@ -230,18 +231,18 @@
 
     async def _connect_sync(self, address: Address) -> None:
         state = self._encoded_state()
-        with contextlib.suppress(OSError):  # includes TimeoutError: the protocol tries again later
+        with contextlib.suppress(OSError):  # includes TimeoutError; the protocol retries later
             async with asyncio.timeout(SYNC_TIMEOUT_SECONDS):
                 await self._loop.create_connection(lambda: PushPullConnection(self, state), *address)
 
     def _encoded_state(self) -> bytes:
-        """All that this member knows, with its length."""
+        """Return this member's encoded full state with its length prefix."""
         data = codec.encode_sync(self.config.fleet, self.swim.full_state())
         return LENGTH_PREFIX.pack(len(data)) + data
 
     # --- Received messages ----------------------------------------------------------------------------
     def datagram_received(self, data: bytes, _source: Address) -> None:
-        """Handle a datagram; the sender's address is the one in its message."""
+        """Handle a datagram; the sender's address is taken from the message, not from the socket."""
         if not self._packet_limiter.allow(self._loop.time()):
             self.dropped["rate"] += 1
             return
@@ -256,22 +257,22 @@
             handler(packet)
 
     def error_received(self, _error: Exception) -> None:
-        """Ignore that nobody listens at a port: the probe will time out."""
+        """Ignore socket errors, such as a port that nobody listens on: the probe will time out."""
 
     def admit_sync(self, connection: PushPullConnection) -> bool:
-        """Return whether one more synchronisation may be served, and register it if so."""
-        if len(self._server_syncs) >= MAX_SYNCS:
+        """Register a synchronisation to be served; return False if the limit is reached."""
+        if len(self._server_syncs) >= MAX_CONCURRENT_SYNCS:
             self.dropped["exchanges"] += 1
             return False
         self._server_syncs.add(connection)
         return True
 
     def release_sync(self, connection: PushPullConnection) -> None:
-        """Unregister a connection that has ended."""
+        """Unregister a closed synchronisation."""
         self._server_syncs.discard(connection)
 
     def handle_sync(self, data: bytes) -> bytes | None:
-        """Merge another member's state; return what this one knew before, or None if it is malformed."""
+        """Merge another member's state; return this member's state before the merge, or None if malformed."""
         try:
             received: PushPullSync = codec.decode_sync(self.config.fleet, data)
         except codec.MalformedMessageError as error:
--- a/stalltiller/fleet/messages.py
+++ b/stalltiller/fleet/messages.py
@@ -1,6 +1,6 @@
-"""Messages between members and the actions of the membership protocol, as plain values.
+"""Messages between members, and the actions that the membership protocol returns, as plain values.
 
-`codec` encodes messages; `membership_agent` carries the actions out.
+`codec` encodes messages; `membership_agent` executes actions.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 
 class PacketKind(enum.IntEnum):
-    """What a datagram is for; the values are those on the wire."""
+    """Purpose of a datagram; the values are part of the wire format."""
 
     PING = 1
-    PING_REQUEST = 2  # SWIM's ping-req: an indirect probe through the receiver
+    PING_REQUEST = 2  # SWIM's ping-req: requests an indirect probe through the receiver
     ACK = 3
-    NACK = 4  # Lifeguard's: an indirect probe has had no answer yet
+    NACK = 4  # Lifeguard's nack: an indirect probe has received no ack yet
     GOSSIP = 5
     SHARED_BUDGETS = 6
     LEASES = 7
@@ -29,8 +29,8 @@
 class Packet:
     """One datagram.
 
-    `number` is that of the probe.  `target` and `address` name the probed member.  `updates` are gossip and
-    travel with any kind.  `budget_messages` and `peer_message` belong to kind SHARED_BUDGETS.
+    `number` identifies a probe.  `target` and `address` name the probed member.  `updates` are gossip,
+    which is piggybacked on any kind.  `budget_messages` and `peer_message` belong to kind SHARED_BUDGETS.
     """
 
     kind: PacketKind
@@ -41,12 +41,12 @@
     updates: tuple[Member, ...] = ()
     budget_messages: tuple[BudgetRequest | BudgetGrant, ...] = ()
     peer_message: bytes = b""
-    body: bytes = b""  # of kinds LEASES and RECOVERY, each in its own encoding
+    body: bytes = b""  # payload of kinds LEASES and RECOVERY, which have their own encodings
 
 
 @dataclass(slots=True, frozen=True)
 class PushPullSync:
-    """All that one member knows: sent and answered once on a TCP connection (push and pull)."""
+    """A member's full state; both ends of a TCP connection send theirs once (push and pull)."""
 
     sender: Member
     members: tuple[Member, ...]
@@ -69,21 +69,21 @@
 
 
 class MemberEventKind(enum.StrEnum):
-    """What happened to a member; the log events are these values with the prefix `fleet_`."""
+    """Kind of a member event; the log event is the value with the prefix `fleet_`."""
 
-    JOINED = "joined"  # also a restarted process under a known name
+    JOINED = "joined"  # also for a restarted process with a known name
     SUSPECT = "suspect"
     ALIVE = "alive"
     DEAD = "dead"
     LEFT = "left"
-    REFUTED = "refuted"  # this member refuted an update on itself
-    CONFLICT = "conflict"  # another process has this member's name
-    STALLED = "stalled"  # this process did not run for some time
+    REFUTED = "refuted"  # this member refuted an update about itself
+    CONFLICT = "conflict"  # another process uses this member's name
+    STALLED = "stalled"  # this process was suspended or had no processor time
 
 
 @dataclass(slots=True, frozen=True)
 class MemberEvent:
-    """Log an event of a member."""
+    """Log an event that concerns a member."""
 
     kind: MemberEventKind
     member: Member
--- a/stalltiller/fleet/rate_limiter.py
+++ b/stalltiller/fleet/rate_limiter.py
@@ -1,10 +1,10 @@
-"""A limit on events per second, counted in whole seconds of a clock.  No I/O."""
+"""Limits events per second by counting them in fixed windows of one second.  No I/O."""
 
 from __future__ import annotations
 
 
 class PerSecondLimiter:
-    """Allows `limit` events in each whole second of the caller's clock; the count starts anew with each."""
+    """Allows `limit` events in each whole second of the caller's clock."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
--- a/stalltiller/fleet/shared_budgets.py
+++ b/stalltiller/fleet/shared_budgets.py
@@ -1,7 +1,7 @@
-"""Shared budgets and scheduler messages of one member, carried in the fleet's datagrams.
+"""Sends and receives budget loans and scheduler messages in the fleet's datagrams.
 
-The only way from the request path to the fleet, and it never waits: `budget_fraction` answers from the loans
-at hand, and a peer message that cannot be sent is lost, which the scheduler allows for.
+This is the request path's only interface to the fleet, and it never waits: `budget_fraction` returns what the
+current loans allow, and a peer message that cannot be sent is lost, which the scheduler allows for.
 """
 
 from __future__ import annotations
@@ -22,26 +22,26 @@
 from stalltiller.fleet.rate_limiter import PerSecondLimiter
 from stalltiller.fleet.status import SharedBudgetsStatus
 
-LENDING_INTERVAL_SECONDS = 0.1  # between checks for budgets of which more is needed
-NEED_LIFETIME_SECONDS = 3.0  # for which a need counts: a thin stream of requests reports it rarely
-MAX_BUDGETS = 256  # in the ledger at once; of others each member has its allotment
-MAX_PEER_MESSAGES_PER_SECOND = 500  # sent; more are lost
+LOAN_REQUEST_INTERVAL_SECONDS = 0.1  # between checks for budgets that need loans
+NEED_LIFETIME_SECONDS = 3.0  # a reported need stays valid this long, as sparse requests report it rarely
+MAX_BUDGETS = 256  # tracked in the ledger; each member uses its allotment of any other budget
+MAX_PEER_MESSAGES_PER_SECOND = 500  # messages above this rate are not sent
 
 
 @dataclass(slots=True, frozen=True)
 class _ReportedNeed:
-    """The fraction of a budget that the request path could use, and when it said so."""
+    """The fraction of a budget that the request path could use, and when it reported this."""
 
     fraction: float
     reported_at: float
 
 
 class SharedBudgets:
-    """One member's side of shared budgets and of messages between schedulers.
+    """Exchanges budget loans and scheduler messages with the other members.
 
-    `member_count` members own an equal fraction of each budget; `window` is the longest time over which a
-    budget's rule sums up use, in seconds; `on_peer_message` receives the messages of other schedulers with
-    the index of their initiator.
+    Each of `member_count` members owns an equal fraction of each budget; `window` is the longest accounting
+    window of a budget's rule, in seconds; `on_peer_message` receives the initiator index of each sender and
+    the message of its scheduler.
     """
 
     def __init__(
@@ -60,10 +60,10 @@
         self.counts: Counter[str] = Counter()
         agent.handlers[PacketKind.SHARED_BUDGETS] = self._handle_packet
         agent.shared_budgets_status = self.status
-        self._timer = self._loop.call_later(LENDING_INTERVAL_SECONDS, self._lend_and_borrow)
+        self._timer = self._loop.call_later(LOAN_REQUEST_INTERVAL_SECONDS, self._request_loans)
 
     def budget_fraction(self, key: str, need: float) -> float:
-        """The fraction of a budget that may be used now; `need` is the fraction that the caller could use."""
+        """Return the fraction of a budget that may be used now; the caller could use the fraction `need`."""
         now = self._loop.time()
         if key in self._needs or len(self._needs) < MAX_BUDGETS:
             self._needs[key] = _ReportedNeed(need, now)
@@ -80,30 +80,30 @@
                 self._send(member, peer_message=data)
 
     def status(self) -> SharedBudgetsStatus:
-        """The state of this member's loans."""
+        """Return the state of this member's loans."""
         may_lend = self._ledger.may_lend(self._loop.time())
         return SharedBudgetsStatus(may_lend, len(self._ledger.keys), dict(self.counts))
 
     def close(self) -> None:
-        """Stop lending and borrowing; loans already granted expire."""
+        """Stop requesting loans; loans already granted expire."""
         self._timer.cancel()
 
-    def _lend_and_borrow(self) -> None:
-        """Bring the ledger's needs up to date and send the requests that are due."""
-        self._timer = self._loop.call_later(LENDING_INTERVAL_SECONDS, self._lend_and_borrow)
+    def _request_loans(self) -> None:
+        """Update the needs in the ledger and send the loan requests that are due."""
+        self._timer = self._loop.call_later(LOAN_REQUEST_INTERVAL_SECONDS, self._request_loans)
         now = self._loop.time()
         self._update_needs(now)
         others = {member.name: member for member in self._agent.swim.table.others}
         requests = sorted(self._ledger.due_requests(now, list(others)), key=itemgetter(0))
         for lender, group in itertools.groupby(requests, key=itemgetter(0)):
-            if lender in others:  # the lender of a loan to be renewed may have gone
+            if lender in others:  # the lender of a loan to renew may have stopped
                 self._send_budget_messages(others[lender], [request for _, request in group])
 
     def _update_needs(self, now: float) -> None:
         oldest = now - NEED_LIFETIME_SECONDS
         self._needs = {key: need for key, need in self._needs.items() if need.reported_at > oldest}
         for key in self._ledger.keys - self._needs.keys():
-            self._ledger.set_need(key, 0.0)  # its loans are not renewed any more
+            self._ledger.set_need(key, 0.0)  # its loans are no longer renewed
         for key, need in self._needs.items():
             self._ledger.set_need(key, need.fraction)
 
@@ -113,7 +113,8 @@
         sender = packet.sender
         if packet.peer_message and sender.initiator_index >= 0:
             self._on_peer_message(sender.initiator_index, packet.peer_message)
-        borrower = f"{sender.name}/{sender.start_time_ms}"  # a restarted borrower has forgotten its loans
+        # Includes the start time, since a restarted borrower has forgotten its loans.
+        borrower = f"{sender.name}/{sender.start_time_ms}"
         grants = []
         for message in packet.budget_messages:
             if isinstance(message, BudgetGrant):
@@ -127,7 +128,7 @@
             self._send_budget_messages(sender, grants)
 
     def _send_budget_messages(self, to: Member, messages: Iterable[BudgetRequest | BudgetGrant]) -> None:
-        """Send messages in as many datagrams as they need."""
+        """Send messages, split into as many datagrams as needed."""
         remaining = iter(messages)
         while batch := tuple(itertools.islice(remaining, MAX_BUDGET_MESSAGES)):
             self._send(to, budget_messages=batch)
--- a/stalltiller/fleet/status.py
+++ b/stalltiller/fleet/status.py
@@ -1,6 +1,6 @@
-"""What operators see of a fleet: the state of one member and its view of the others.
+"""Fleet status for operators: the state of one member and its view of the other members.
 
-The keys of the JSON are an interface for operators' tools, so they stay as they are.
+The JSON keys are a stable interface for operators' tools.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 
 @dataclass(slots=True, frozen=True)
 class SharedBudgetsStatus:
-    """The loans of one member; `counts` are since its start: loans granted and taken, lost peer messages."""
+    """The loans of one member; `counts` has granted loans, taken loans and lost peer messages since start."""
 
     may_lend: bool
     budget_count: int
     counts: Mapping[str, int]
 
     def to_json(self) -> dict[str, object]:
-        """The value of `commons` in `/_fleet/status`."""
+        """Return the value of `commons` in `/_fleet/status`."""
         return {"whole": self.may_lend, "budgets": self.budget_count, **self.counts}
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipStatus:
-    """One member's view of its fleet and of itself; `dropped` counts received messages by reason."""
+    """One member's view of its fleet and of itself; `dropped` counts dropped messages by reason."""
 
     fleet: str
-    me: Member
+    local_member: Member
     running_count: int
     stopped_count: int
     health_score: int
@@ -40,13 +40,13 @@
     shared_budgets: SharedBudgetsStatus | None
 
     def to_json(self) -> dict[str, object]:
-        """The body of `/_fleet/status`."""
+        """Return the response body of `/_fleet/status`."""
         return {
             "fleet": self.fleet,
-            "name": self.me.name,
-            "life": self.me.start_time_ms,
-            "incarnation": self.me.incarnation,
-            "state": self.me.state.name.lower(),
+            "name": self.local_member.name,
+            "life": self.local_member.start_time_ms,
+            "incarnation": self.local_member.incarnation,
+            "state": self.local_member.state.name.lower(),
             "members": self.running_count,
             "ended": self.stopped_count,
             "health": self.health_score,
@@ -60,12 +60,12 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberStatus:
-    """One entry of `/_fleet/members`; the fields are the keys of its JSON."""
+    """One entry of `/_fleet/members`; the field names are its JSON keys."""
 
     name: str
     address: str
     zone: str
-    life: int  # the start time in milliseconds
+    life: int  # the process's start time, Unix time in milliseconds
     incarnation: int
     state: str
     protocol: int
@@ -73,7 +73,7 @@
 
     @classmethod
     def of(cls, member: Member) -> MemberStatus:
-        """The entry of one member."""
+        """Return the entry of one member."""
         host, port = member.address
         return cls(
             name=member.name,
--- a/stalltiller/fleet/swim.py
+++ b/stalltiller/fleet/swim.py
@@ -1,7 +1,7 @@
-"""SWIM membership with Lifeguard's additions, without I/O.
+"""SWIM membership protocol with Lifeguard's extensions, without I/O.
 
-Time, randomness and received messages are passed in, and each method returns the actions to be carried out,
-so that one seed gives one run.  `Swim` owns the member table.  Sources: Das, Gupta, Motivala, "SWIM:
+Time, randomness and received messages are passed in, and each method returns the actions to execute, so runs
+with the same seed are identical.  `Swim` owns the member table.  Sources: Das, Gupta, Motivala, "SWIM:
 Scalable Weakly-consistent Infection-style Process Group Membership Protocol"; Lifeguard (see
 `local_health`). `docs/design/fleet.md` compares the alternatives.
 """
@@ -30,58 +30,61 @@
 from stalltiller.fleet.swim_settings import SwimSettings
 from stalltiller.fleet.timer_queue import TimerQueue
 
-MAX_UPDATES_PER_PACKET = 6  # what fits into 1400 bytes with the longest names
-NACK_TIMEOUT_FRACTION = 0.8  # of a probe timeout: the nack arrives before the origin's own timeout
-STALL_FRACTION = 0.5  # of a probe interval: a timer that is later means that this process did not run
-MAX_INDIRECT_PROBES = 256  # made for others at once, so that a flood of requests costs bounded memory
-INITIAL_SYNC_SECONDS = 1.0  # doubling: just after a start few members have heard of this one
-FORGET_CHECK_SECONDS = 5.0  # between checks for members to be forgotten
-MIN_REJOIN_PROBABILITY = 0.1  # of a try each interval, however large the fleet is
-REJOINING_MEMBERS = 3  # members of the fleet that try in one interval, on average
-DEADLINE_TOLERANCE_SECONDS = 1e-6  # rounding of a float
-PROBE_NUMBER_BITS = 30  # random start, so that a restarted member does not repeat the numbers of before
+MAX_UPDATES_PER_PACKET = 6  # with the longest names, this many fit into 1400 bytes
+# A nack is sent after this fraction of the probe timeout, so that it arrives before the origin's own timeout.
+NACK_TIMEOUT_FRACTION = 0.8
+# A timer that is late by more than this fraction of the probe interval means that this process did not run.
+STALL_FRACTION = 0.5
+MAX_INDIRECT_PROBES = 256  # concurrent probes for other members; bounds the memory that a request flood takes
+INITIAL_SYNC_SECONDS = 1.0  # short, since few members know this one just after its start; doubles each time
+FORGET_CHECK_SECONDS = 5.0  # interval between checks for members to forget
+MIN_REJOIN_PROBABILITY = 0.1  # minimum probability of a rejoin attempt per interval, in any size of fleet
+REJOINING_MEMBERS = 3  # average number of members in the fleet that attempt to rejoin per interval
+DEADLINE_TOLERANCE_SECONDS = 1e-6  # allows for floating-point rounding
+# Probe numbers start at a random value, so that a restarted member does not reuse its earlier numbers.
+PROBE_NUMBER_BITS = 30
 
 
 @dataclass(slots=True)
 class _Probe:
-    """A probe of this member's own."""
+    """A probe that this member sent on its own behalf."""
 
     target: Member
     is_acknowledged: bool = False
-    indirect_probes: int = 0  # requested from other members
-    nacks: int = 0  # members that had no answer either, but were heard themselves
+    indirect_probes: int = 0  # number requested from other members
+    nacks: int = 0  # received from members that got no ack from the target either
 
 
 class _IndirectProbe(NamedTuple):
-    """A probe made for another member."""
+    """A probe that this member sent on behalf of another."""
 
     origin: Address
-    origin_number: int  # the probe's number at its origin
+    origin_number: int  # the probe number that the origin uses
 
 
 class Swim:
-    """The membership protocol of one member.  Each method takes the time (seconds) and returns actions.
+    """The membership protocol of one member.  Event methods take the time in seconds and return actions.
 
-    `wake_at` is the time at which `tick` is to be called next.
+    The caller has to call `tick` at `wake_at`.
     """
 
-    def __init__(self, settings: SwimSettings, me: Member, rng: random.Random, now: float) -> None:
+    def __init__(self, settings: SwimSettings, local_member: Member, rng: random.Random, now: float) -> None:
         self.settings = settings
-        self.table = MemberTable(me, settings.max_members)
+        self.table = MemberTable(local_member, settings.max_members)
         self.health = LocalHealth()
         self.has_left = False
         self._rng = rng
         self._now = now
         self._gossip = GossipQueue(settings.retransmit_multiplier)
         self._suspicions: dict[str, Suspicion] = {}
-        self._probe_round: list[str] = []  # names still to be probed in this round
+        self._probe_round: list[str] = []  # names that remain to be probed in this round
         self._probe_number = rng.getrandbits(PROBE_NUMBER_BITS)
         self._probes: dict[int, _Probe] = {}
         self._indirect_probes: dict[int, _IndirectProbe] = {}
         self._timers = TimerQueue()
         self._actions: list[Action] = []
         self._sync_interval = min(INITIAL_SYNC_SECONDS, settings.sync_interval_seconds)
-        # The order of these draws is part of "one seed, one run".
+        # Runs with the same seed are identical only if the order of these random draws stays.
         self._call_later(0.0, self._rejoin)
         self._call_later(settings.probe_interval_seconds * rng.random(), self._start_probe)
         self._call_later(settings.gossip_interval_seconds * rng.random(), self._send_gossip)
@@ -90,8 +93,8 @@
 
     @property
     def me(self) -> Member:
-        """This member as it is now."""
-        return self.table.me
+        """This member's current state."""
+        return self.table.local_member
 
     @property
     def wake_at(self) -> float:
@@ -107,7 +110,7 @@
         return self._take_actions()
 
     def handle_packet(self, now: float, packet: Packet) -> list[Action]:
-        """Handle a datagram of another member; it is answered at the address that its sender advertises."""
+        """Handle a datagram from another member; responses go to the address that the sender advertises."""
         self._begin_event(now)
         sender = packet.sender
         self._handle_update(sender)
@@ -115,7 +118,7 @@
         for update in packet.updates:
             self._handle_update(update)
         if packet.kind is PacketKind.PING and packet.target == self.me.name:
-            self._send(sender.address, PacketKind.ACK, packet.number, about=sender.name)
+            self._send(sender.address, PacketKind.ACK, packet.number, priority_update=sender.name)
         elif packet.kind is PacketKind.PING_REQUEST:
             self._start_indirect_probe(sender.address, packet)
         elif packet.kind is PacketKind.ACK:
@@ -125,7 +128,7 @@
         return self._take_actions()
 
     def handle_sync(self, now: float, received: PushPullSync) -> list[Action]:
-        """Merge all that another member knows.  A death it reports counts as a suspicion only."""
+        """Merge another member's full state; members that it reports as dead become only suspects."""
         self._begin_event(now)
         self._handle_update(received.sender)
         for update in received.members:
@@ -136,29 +139,29 @@
         return self._take_actions()
 
     def full_state(self) -> PushPullSync:
-        """All that this member knows, to be sent to another."""
+        """Return this member's view of the fleet, to send to another member."""
         names = sorted(self.table.known)
         return PushPullSync(self.me, tuple(self.table.known[name] for name in names if name != self.me.name))
 
     def leave(self, now: float) -> list[Action]:
-        """Announce that this member leaves; from then on it refutes nothing."""
+        """Announce that this member leaves; it no longer refutes updates about itself."""
         self._begin_event(now)
         self.has_left = True
-        self._update_me(replace(self.me, state=MemberState.LEFT))
+        self._update_local_member(replace(self.me, state=MemberState.LEFT))
         for member in self._random_others(2 * self.settings.gossip_fanout):
-            self._send(member.address, PacketKind.GOSSIP, about=self.me.name)
+            self._send(member.address, PacketKind.GOSSIP, priority_update=self.me.name)
         return self._take_actions()
 
     def set_load(self, load: int) -> None:
-        """Set this member's load; it travels with whatever is sent next."""
-        self.table.set_me(replace(self.me, load=load))
+        """Set this member's load, which every packet carries."""
+        self.table.set_local_member(replace(self.me, load=load))
 
     # --- Timers, actions and packets ----------------------------------------------------------------
     def _begin_event(self, now: float) -> None:
-        """Set the time; if this process did not run meanwhile, do not blame the others.
+        """Set the time and detect a stall of this process, so that it does not suspect other members.
 
-        After a stall (stopped, or without processor time) all timers are postponed by as much, and local
-        health gets worse.
+        After a stall (process stopped, or without processor time) all timers are postponed by its duration,
+        and the local health score gets worse.
         """
         delay = now - self.wake_at
         if delay > STALL_FRACTION * self.settings.probe_interval_seconds:
@@ -187,24 +190,28 @@
         number: int = 0,
         target: str = "",
         address: Address = ("", 0),
-        about: str | None = None,
+        priority_update: str | None = None,
     ) -> None:
-        """Send a packet with updates; one on member `about` comes first if it is not alive, to be refuted."""
-        known = self.table.known.get(about) if about else None
+        """Send a packet with gossip.
+
+        If member `priority_update` is known as not alive, that update comes first, so that the member can
+        refute it.
+        """
+        known = self.table.known.get(priority_update) if priority_update else None
         first = (known,) if known is not None and known.state is not MemberState.ALIVE else ()
         gossip = self._gossip.next_updates(MAX_UPDATES_PER_PACKET - len(first), self.table.running_count)
         packet = Packet(kind, self.me, number, target, address, first + gossip)
         self._actions.append(SendPacket(to, packet))
 
     def _random_others(self, count: int, excluded: str = "") -> list[Member]:
-        """At most `count` of the other running members, drawn at random."""
+        """Return at most `count` of the other running members, selected at random."""
         others = self.table.others
-        drawn = self._rng.sample(others, min(count + 1, len(others)))
-        return [member for member in drawn if member.name != excluded][:count]
+        selected = self._rng.sample(others, min(count + 1, len(others)))
+        return [member for member in selected if member.name != excluded][:count]
 
     # --- Probes -------------------------------------------------------------------------------------
     def _start_probe(self) -> None:
-        """Probe the next member.  Each is probed once in a round; each round has a new random order."""
+        """Probe the next member.  A round probes each member once, in a new random order."""
         interval = self.settings.probe_interval_seconds * self.health.multiplier
         target = self._next_probe_target()
         if target is None or self.has_left:
@@ -214,13 +221,13 @@
         number = self._probe_number
         probe = _Probe(target)
         self._probes[number] = probe
-        self._send(target.address, PacketKind.PING, number, target.name, about=target.name)
+        self._send(target.address, PacketKind.PING, number, target.name, priority_update=target.name)
         timeout = self.settings.probe_timeout_seconds * self.health.multiplier
         self._call_later(timeout, lambda: self._request_indirect_probes(number, probe))
         self._call_later(interval, lambda: self._finish_probe(number, probe))
 
     def _next_probe_target(self) -> Member | None:
-        for _ in range(2):  # what is left of this round, then a new one
+        for _ in range(2):  # first the rest of this round, then a new round
             while self._probe_round:
                 member = self.table.known.get(self._probe_round.pop())
                 if member is not None and member.is_running and member.name != self.me.name:
@@ -239,7 +246,7 @@
             self._send(proxy.address, PacketKind.PING_REQUEST, number, target.name, target.address)
 
     def _finish_probe(self, number: int, probe: _Probe) -> None:
-        """End a probe and start the next; missing nacks speak against this member, not against its target."""
+        """End a probe and start the next; missing nacks suggest a fault of this member, not of its target."""
         del self._probes[number]
         if probe.is_acknowledged:
             self.health.adjust(-1)
@@ -261,16 +268,16 @@
             self._send(indirect.origin, PacketKind.ACK, indirect.origin_number)
 
     def _start_indirect_probe(self, origin: Address, packet: Packet) -> None:
-        """Probe a member for another one, and send a nack if there is no answer in time."""
+        """Probe a member on behalf of another, and send a nack if no ack arrives in time."""
         if len(self._indirect_probes) >= MAX_INDIRECT_PROBES:
             return
         self._probe_number += 1
         number = self._probe_number
         self._indirect_probes[number] = _IndirectProbe(origin, packet.number)
-        self._send(packet.address, PacketKind.PING, number, packet.target, about=packet.target)
+        self._send(packet.address, PacketKind.PING, number, packet.target, priority_update=packet.target)
 
         def send_nack() -> None:
-            """Tell the member that asked that this one is alive, though its target has not answered."""
+            """Show the origin that this member is reachable, although the target has not sent an ack."""
             if number in self._indirect_probes:
                 self._send(origin, PacketKind.NACK, packet.number)
 
@@ -282,9 +289,9 @@
 
     # --- Updates ------------------------------------------------------------------------------------
     def _handle_update(self, update: Member) -> None:
-        """Merge an update on a member, and gossip it if it is new."""
+        """Merge an update about a member, and gossip it if it changed the table."""
         if update.name == self.me.name:
-            self._handle_update_on_me(update)
+            self._handle_update_about_local_member(update)
             return
         known = self.table.known.get(update.name)
         if not self.table.merge(self._now, update):
@@ -301,11 +308,11 @@
         ):
             self._report(MemberEventKind[update.state.name], update)
 
-    def _handle_update_on_me(self, update: Member) -> None:
-        """Refute an update that is wrong.
+    def _handle_update_about_local_member(self, update: Member) -> None:
+        """Refute a wrong update about this member.
 
-        One with a later start time is of a process before this one whose clock was ahead, unless it runs at
-        another address: then two processes have one name, which the operator has to settle.
+        A later start time stems from an earlier process whose clock was ahead, unless the update is about a
+        running process at another address: then two processes use one name, which the operator must resolve.
         """
         if self.has_left:
             return
@@ -313,15 +320,15 @@
             if update.address != self.me.address and update.is_running:
                 self._report(MemberEventKind.CONFLICT, update)
                 return
-            self._update_me(replace(self.me, start_time_ms=update.start_time_ms + 1, incarnation=0))
+            self._update_local_member(replace(self.me, start_time_ms=update.start_time_ms + 1, incarnation=0))
         elif update.precedence >= self.me.precedence and update.state is not MemberState.ALIVE:
-            self._update_me(replace(self.me, incarnation=update.incarnation + 1))
+            self._update_local_member(replace(self.me, incarnation=update.incarnation + 1))
             self.health.adjust(1)
             self._report(MemberEventKind.REFUTED, update)
 
-    def _update_me(self, me: Member) -> None:
-        self.table.set_me(me)
-        self._gossip.add(me)
+    def _update_local_member(self, local_member: Member) -> None:
+        self.table.set_local_member(local_member)
+        self._gossip.add(local_member)
 
     # --- Suspicions ---------------------------------------------------------------------------------
     def _start_suspicion(self, update: Member) -> None:
@@ -333,14 +340,14 @@
             * settings.probe_interval_seconds
         )
         max_timeout = settings.max_suspicion_multiplier * min_timeout
-        # All but the suspected member and its reporter may confirm.
+        # Every member but the suspect and its reporter can confirm the suspicion.
         confirmations = min(settings.expected_confirmations, member_count - 2)
         suspicion = Suspicion(self._now, update.reported_by, min_timeout, max_timeout, confirmations)
         self._suspicions[update.name] = suspicion
         self._check_suspicion_later(update.name, suspicion)
 
     def _confirm_suspicion(self, update: Member) -> None:
-        """Count an independent suspicion as a confirmation; it is gossiped, as it shortens the timeout."""
+        """Count an independent suspicion as a confirmation, and gossip it since it shortens the timeout."""
         suspicion = self._suspicions.get(update.name)
         known = self.table.known.get(update.name)
         if suspicion is None or known is None or update.state is not MemberState.SUSPECT:
@@ -350,12 +357,12 @@
             self._check_suspicion_later(update.name, suspicion)
 
     def _check_suspicion_later(self, name: str, suspicion: Suspicion) -> None:
-        """Check a suspicion at its deadline, or in the next tick if that has passed."""
+        """Schedule a check of a suspicion at its deadline, or in the next tick if that has passed."""
         remaining = max(0.0, suspicion.deadline - self._now)
         self._call_later(remaining, lambda: self._check_suspicion(name, suspicion))
 
     def _check_suspicion(self, name: str, suspicion: Suspicion) -> None:
-        """Declare a member dead if this suspicion still holds and its deadline has passed."""
+        """Declare a member dead if this suspicion is still current and its deadline has passed."""
         if self._suspicions.get(name) is not suspicion:
             return
         if self._now < suspicion.deadline - DEADLINE_TOLERANCE_SECONDS:
@@ -371,18 +378,19 @@
         self._call_later(self.settings.gossip_interval_seconds, self._send_gossip)
 
     def _start_sync(self) -> None:
-        """Synchronise with one member; the interval doubles from a short one to that of the settings."""
+        """Synchronise with a random member; the interval doubles until it reaches the configured one."""
         for member in self._random_others(1):
             self._actions.append(StartSync(member.address))
-        # Less often in a large fleet, as each synchronisation holds the whole table.
+        # Less often in a large fleet, as each synchronisation transfers the whole table.
         scale = max(1.0, math.log2(self.table.running_count) - 4)
         self._sync_interval = min(2 * self._sync_interval, self.settings.sync_interval_seconds * scale)
         self._call_later(self._sync_interval * (0.75 + 0.5 * self._rng.random()), self._start_sync)
 
     def _rejoin(self) -> None:
-        """Try to reach a seed that is not known to run, or a dead member: so a partition heals.
+        """Try to reach a dead member, or a seed that is not known to be running, to heal partitions.
 
-        Each member tries at random, less often in a larger fleet; one that is alone tries in each interval.
+        Each member tries with a probability that falls with the size of the fleet; a member that knows no
+        other running member tries in every interval.
         """
         running = {member.address for member in self.table.others}
         dead = [member.address for member in self.table.stopped_members if member.state is MemberState.DEAD]
--- a/stalltiller/fleet/timer_queue.py
+++ b/stalltiller/fleet/timer_queue.py
@@ -1,4 +1,4 @@
-"""Timers of a protocol that is given its time.  No I/O."""
+"""Timer queue for a protocol whose caller passes in the time.  No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class _Timer(NamedTuple):
-    """A callback that is due at a time; the sequence number keeps the order of equal times."""
+    """A scheduled callback; the sequence number orders timers that are due at the same time."""
 
     due_at: float
     sequence: int
@@ -18,7 +18,7 @@
 
 
 class TimerQueue:
-    """Callbacks in the order of their times, then in the order in which they were added."""
+    """Callbacks ordered by due time, then by the order in which they were added."""
 
     def __init__(self) -> None:
         self._heap: list[_Timer] = []
@@ -26,11 +26,11 @@
 
     @property
     def next_due_at(self) -> float:
-        """The earliest time of a timer; raises IndexError if there is none."""
+        """The due time of the earliest timer; raises IndexError if there is none."""
         return self._heap[0].due_at
 
     def call_at(self, due_at: float, callback: Callback) -> None:
-        """Add a timer."""
+        """Schedule a callback."""
         self._sequence += 1
         heapq.heappush(self._heap, _Timer(due_at, self._sequence, callback))
 
@@ -41,5 +41,5 @@
         return heapq.heappop(self._heap).callback
 
     def postpone_all(self, seconds: float) -> None:
-        """Move all timers by as much, which leaves their order as it is."""
+        """Postpone all timers by the same time, which keeps their order."""
         self._heap = [timer._replace(due_at=timer.due_at + seconds) for timer in self._heap]
--- a/tests/fleet/test_swim.py
+++ b/tests/fleet/test_swim.py
@@ -1,4 +1,4 @@
-"""The membership protocol without I/O: its parts one by one, and seeded fleets on a virtual clock."""
+"""Membership protocol without I/O: unit tests of its components, and seeded fleets on a virtual clock."""
 
 from __future__ import annotations
 
@@ -38,10 +38,10 @@
 ALIVE, SUSPECT, DEAD, LEFT = MemberState
 
 
-def member(
-    name: str = "x", start_time_ms: int = 5, incarnation: int = 0, state: MemberState = ALIVE, **more
+def make_member(
+    name: str = "x", start_time_ms: int = 5, incarnation: int = 0, state: MemberState = ALIVE, **fields
 ) -> Member:
-    return Member(name, ("10.0.0.1", 9), "a", start_time_ms, incarnation, state, **more)
+    return Member(name, ("10.0.0.1", 9), "a", start_time_ms, incarnation, state, **fields)
 
 
 # --- Updates --------------------------------------------------------------------------------------------
@@ -66,46 +66,46 @@
     ],
 )
 def test_an_update_of_higher_precedence_replaces_the_known_one(known, update, is_new):
-    table = MemberTable(member("me"), 8)
+    table = MemberTable(make_member("me"), 8)
     for state in [(0, 0, ALIVE), known] if known else []:
-        table.merge(0.0, member("x", *state))
-    assert table.merge(1.0, member("x", *update)) is is_new
+        table.merge(0.0, make_member("x", *state))
+    assert table.merge(1.0, make_member("x", *update)) is is_new
 
 
-updates = st.builds(
-    member, st.sampled_from("xyz"), st.integers(1, 3), st.integers(0, 2), st.sampled_from(MemberState)
+member_updates = st.builds(
+    make_member, st.sampled_from("xyz"), st.integers(1, 3), st.integers(0, 2), st.sampled_from(MemberState)
 )
 
 
-@given(st.lists(updates, max_size=12), st.randoms())
-def test_the_order_of_updates_makes_no_difference(received, rng):
-    """Except for unknown names: a stopped member is not added as a new one."""
-    tables = [MemberTable(member("me"), 99), MemberTable(member("me"), 99)]
+@given(st.lists(member_updates, max_size=12), st.randoms())
+def test_merging_updates_in_any_order_gives_the_same_table(received, rng):
+    """All names are known beforehand, since an unknown member is not added if it is dead or has left."""
+    tables = [MemberTable(make_member("me"), 99), MemberTable(make_member("me"), 99)]
     for table in tables:
         for name in "xyz":
-            table.merge(0.0, member(name, 0))
+            table.merge(0.0, make_member(name, 0))
         for update in received:
             table.merge(1.0, update)
         rng.shuffle(received)
-    one, other = ({n: m.precedence for n, m in table.known.items()} for table in tables)
-    assert one == other
+    first, second = ({name: known.precedence for name, known in table.known.items()} for table in tables)
+    assert first == second
 
 
 def test_a_full_table_rejects_new_names_and_counts_them():
-    table = MemberTable(member("me"), 3)
-    assert [table.merge(0.0, member(name)) for name in "abc"] == [True, True, False]
-    assert table.rejected_count == 1 and table.merge(0.0, member("a", 6)) and table.running_count == 3
+    table = MemberTable(make_member("me"), 3)
+    assert [table.merge(0.0, make_member(name)) for name in "abc"] == [True, True, False]
+    assert table.rejected_count == 1 and table.merge(0.0, make_member("a", 6)) and table.running_count == 3
 
 
 def test_an_update_is_gossiped_a_bounded_number_of_times_least_sent_first():
     gossip = GossipQueue(2)
     for name in "abc":
-        gossip.add(member(name))
+        gossip.add(make_member(name))
     sent = list(itertools.chain(*(gossip.next_updates(2, 9) for _ in range(3))))
     assert sorted(update.name for update in sent) == ["a", "a", "b", "b", "c", "c"] and len(gossip) == 0
-    gossip.add(member("a"))
-    gossip.add(member("a", state=DEAD))
-    assert gossip.next_updates(2, 9) == (member("a", state=DEAD),)
+    gossip.add(make_member("a"))
+    gossip.add(make_member("a", state=DEAD))
+    assert gossip.next_updates(2, 9) == (make_member("a", state=DEAD),)
 
 
 @pytest.mark.parametrize(("confirmations", "deadline"), [(0, 13.0), (1, 8.0), (2, 5.075), (3, 3.0), (9, 3.0)])
@@ -127,7 +127,7 @@
     assert (health.score, health.multiplier) == (score, score + 1)
 
 
-def test_timers_run_in_the_order_of_their_times_then_as_added_and_are_postponed_together():
+def test_timers_run_by_due_time_then_by_insertion_order_and_are_postponed_together():
     timers = TimerQueue()
     ran = []
     for due_at, name in [(2.0, "b"), (1.0, "a"), (2.0, "c")]:
@@ -140,73 +140,82 @@
     assert ran == ["a", "b", "c"]
 
 
-def test_a_per_second_limiter_counts_anew_in_each_second():
+def test_a_per_second_limiter_resets_its_count_each_second():
     limiter = PerSecondLimiter(2)
     assert [limiter.allow(now) for now in (5.0, 5.5, 5.9, 6.0, 6.1, 6.2)] == [True, True, False] * 2
 
 
 # --- One member ---------------------------------------------------------------------------------------
-def new_swim(**changes) -> Swim:
-    return Swim(SwimSettings(**changes), member("me"), random.Random(1), 0.0)
+def make_swim(**changes) -> Swim:
+    return Swim(SwimSettings(**changes), make_member("me"), random.Random(1), 0.0)
 
 
 @pytest.mark.parametrize(
     ("update", "start_time_ms", "incarnation", "events"),
     [
-        (member("me", 5, 0, SUSPECT), 5, 1, ["refuted"]),
-        (member("me", 5, 3, DEAD), 5, 4, ["refuted"]),
-        (member("me", 5, 3, ALIVE), 5, 0, []),
-        (member("me", 4, 9, DEAD), 5, 0, []),
-        (member("me", 9, 2, DEAD), 10, 0, []),  # an earlier process whose clock was ahead
-        (Member("me", ("10.0.0.2", 1), "a", 9), 5, 0, ["conflict"]),  # another process of the same name
+        (make_member("me", 5, 0, SUSPECT), 5, 1, ["refuted"]),
+        (make_member("me", 5, 3, DEAD), 5, 4, ["refuted"]),
+        (make_member("me", 5, 3, ALIVE), 5, 0, []),
+        (make_member("me", 4, 9, DEAD), 5, 0, []),
+        (make_member("me", 9, 2, DEAD), 10, 0, []),  # from an earlier process whose clock was ahead
+        (Member("me", ("10.0.0.2", 1), "a", 9), 5, 0, ["conflict"]),  # another process with the same name
     ],
 )
 def test_a_member_refutes_wrong_updates_on_itself(update, start_time_ms, incarnation, events):
-    swim = new_swim()
-    actions = swim.handle_packet(0.0, Packet(PacketKind.GOSSIP, member("x"), updates=(update,)))
+    swim = make_swim()
+    actions = swim.handle_packet(0.0, Packet(PacketKind.GOSSIP, make_member("x"), updates=(update,)))
     assert (swim.me.start_time_ms, swim.me.incarnation) == (start_time_ms, incarnation)
-    assert [a.kind for a in actions if isinstance(a, MemberEvent) and a.member.name == "me"] == events
+    assert [
+        action.kind for action in actions if isinstance(action, MemberEvent) and action.member.name == "me"
+    ] == events
 
 
-def test_a_member_that_left_announces_it_and_refutes_nothing():
-    swim = new_swim()
-    swim.handle_packet(0.0, Packet(PacketKind.GOSSIP, member("x")))
-    sends = [a for a in swim.leave(0.0) if isinstance(a, SendPacket)]
+def test_a_leaving_member_announces_it_and_no_longer_refutes_suspicions():
+    swim = make_swim()
+    swim.handle_packet(0.0, Packet(PacketKind.GOSSIP, make_member("x")))
+    sends = [action for action in swim.leave(0.0) if isinstance(action, SendPacket)]
     assert sends and all(send.packet.sender.state is LEFT for send in sends)
-    swim.handle_packet(0.0, Packet(PacketKind.GOSSIP, member("x"), updates=(member("me", 5, 0, SUSPECT),)))
+    swim.handle_packet(
+        0.0, Packet(PacketKind.GOSSIP, make_member("x"), updates=(make_member("me", 5, 0, SUSPECT),))
+    )
     assert swim.me.state is LEFT
 
 
-def test_a_ping_for_another_name_at_this_address_is_not_answered():
-    swim = new_swim()
-    for target, acks in (("me", 1), ("old", 0)):
-        actions = swim.handle_packet(0.0, Packet(PacketKind.PING, member("x"), 7, target))
-        assert sum(isinstance(a, SendPacket) and a.packet.kind is PacketKind.ACK for a in actions) == acks
+def test_a_ping_for_another_name_at_this_address_is_not_acknowledged():
+    swim = make_swim()
+    for target, ack_count in (("me", 1), ("old", 0)):
+        actions = swim.handle_packet(0.0, Packet(PacketKind.PING, make_member("x"), 7, target))
+        assert (
+            sum(isinstance(action, SendPacket) and action.packet.kind is PacketKind.ACK for action in actions)
+            == ack_count
+        )
 
 
-def test_a_push_pull_sync_reports_a_death_as_a_suspicion():
-    swim = new_swim()
-    swim.handle_packet(0.0, Packet(PacketKind.GOSSIP, member("y")))
-    swim.handle_sync(0.0, PushPullSync(member("x"), (member("y", state=DEAD), member("z", state=LEFT))))
+def test_a_death_received_in_a_push_pull_sync_is_merged_as_a_suspicion():
+    swim = make_swim()
+    swim.handle_packet(0.0, Packet(PacketKind.GOSSIP, make_member("y")))
+    swim.handle_sync(
+        0.0, PushPullSync(make_member("x"), (make_member("y", state=DEAD), make_member("z", state=LEFT)))
+    )
     assert swim.table.known["y"].state is SUSPECT and "z" not in swim.table.known
 
 
-# --- The wire -----------------------------------------------------------------------------------------
-PACKET = Packet(
+# --- Encoding -----------------------------------------------------------------------------------------
+SAMPLE_PACKET = Packet(
     PacketKind.PING_REQUEST,
-    member("x", load=3, initiator_index=4),
+    make_member("x", load=3, initiator_index=4),
     7,
     "y",
     ("10.0.0.9", 80),
-    (member("z", 2, 1, DEAD, reported_by="w"),),
+    (make_member("z", 2, 1, DEAD, reported_by="w"),),
     (BudgetRequest("s-1", 8, 0.25, 6), BudgetGrant("s-1", 8, 0.5)),
     b"letter",
 )
 
 
-def test_messages_are_decoded_as_they_were_encoded():
-    assert codec.decode_packet("f", codec.encode_packet("f", PACKET)) == PACKET
-    sync = PushPullSync(member("x"), (member("y", state=SUSPECT),))
+def test_encoded_messages_are_decoded_unchanged():
+    assert codec.decode_packet("f", codec.encode_packet("f", SAMPLE_PACKET)) == SAMPLE_PACKET
+    sync = PushPullSync(make_member("x"), (make_member("y", state=SUSPECT),))
     assert codec.decode_sync("f", codec.encode_sync("f", sync)) == sync
 
 
@@ -215,16 +224,16 @@
     [
         (b"\xff\xff\xff", "malformed"),
         (b"", "foreign"),
-        (codec.encode_packet("g", PACKET), "foreign"),
-        (codec.encode_packet("f", PACKET) + b"\0" * 1400, "oversized"),
-        (codec.encode_packet("f", Packet(PacketKind.PING, member("n" * 49))), "name"),
+        (codec.encode_packet("g", SAMPLE_PACKET), "foreign"),
+        (codec.encode_packet("f", SAMPLE_PACKET) + b"\0" * 1400, "oversized"),
+        (codec.encode_packet("f", Packet(PacketKind.PING, make_member("n" * 49))), "name"),
         (codec.encode_packet("f", Packet(PacketKind.PING, Member("x", ("h", 0)))), "member"),
-        (codec.encode_packet("f", Packet(PacketKind.PING, member(), target="t" * 49)), "target"),
-        (codec.encode_packet("f", Packet(9, member())), "kind"),
+        (codec.encode_packet("f", Packet(PacketKind.PING, make_member(), target="t" * 49)), "target"),
+        (codec.encode_packet("f", Packet(9, make_member())), "kind"),
         *(
             (
                 codec.encode_packet(
-                    "f", Packet(PacketKind.SHARED_BUDGETS, member(), budget_messages=(message,))
+                    "f", Packet(PacketKind.SHARED_BUDGETS, make_member(), budget_messages=(message,))
                 ),
                 "part",
             )
@@ -244,7 +253,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_arbitrary_bytes_raise_nothing_but_a_malformed_message_error(data):
+def test_decoding_arbitrary_bytes_raises_only_malformed_message_errors(data):
     for decode in (codec.decode_packet, codec.decode_sync):
         try:
             decode("", data)
@@ -253,12 +262,12 @@
 
 
 def test_a_datagram_holds_as_many_updates_as_fit():
-    updates = tuple(member(f"{'n' * 40}{number}", reported_by="b" * 48) for number in range(40))
-    data = codec.encode_packet("f", Packet(PacketKind.GOSSIP, member(), updates=updates))
+    updates = tuple(make_member(f"{'n' * 40}{number}", reported_by="b" * 48) for number in range(40))
+    data = codec.encode_packet("f", Packet(PacketKind.GOSSIP, make_member(), updates=updates))
     assert len(data) <= codec.MAX_DATAGRAM_BYTES and len(codec.decode_packet("f", data).updates) >= 6
 
 
-def test_the_generated_code_is_current(tmp_path):
+def test_the_generated_protobuf_module_is_up_to_date(tmp_path):
     pytest.importorskip("grpc_tools")
     subprocess.run(
         [
@@ -276,38 +285,38 @@
     assert (tmp_path / generated).read_bytes() == (ROOT / generated).read_bytes()
 
 
-# --- The section of the file --------------------------------------------------------------------------
-GOOD = {"name": "f", "listen": "127.0.0.1:7946", "seeds": ["127.0.0.1:7947"]}
+# --- The [fleet] section ------------------------------------------------------------------------------
+VALID_SECTION = {"name": "f", "listen": "127.0.0.1:7946", "seeds": ["127.0.0.1:7947"]}
 
 
 @pytest.mark.parametrize(
     ("change", "message"),
     [
-        ({"listen": "nowhere"}, "not an address: 'nowhere'"),
-        ({"listen": "127.0.0.1:0"}, "not an address: '127.0.0.1:0'"),
-        ({"seeds": ["x"]}, "not an address: 'x'"),
-        ({"probe_every_s": 0}, "probe_every_s must lie between 0.01 and 3600"),
-        ({"probe_timeout_s": 0.5}, "probe_timeout_s must be under probe_every_s"),
+        ({"listen": "nowhere"}, "invalid address 'nowhere', expected HOST:PORT"),
+        ({"listen": "127.0.0.1:0"}, "invalid address '127.0.0.1:0', expected HOST:PORT"),
+        ({"seeds": ["x"]}, "invalid address 'x', expected HOST:PORT"),
+        ({"probe_every_s": 0}, "probe_every_s must be between 0.01 and 3600 seconds"),
+        ({"probe_timeout_s": 0.5}, "probe_timeout_s must be less than probe_every_s"),
         ({"probe_every_s": "soon"}, "could not convert string to float: 'soon'"),
     ],
 )
-def test_an_invalid_section_is_rejected(change, message):
-    assert fleet_config(GOOD, "a").advertise == ("127.0.0.1", 7946)
+def test_an_invalid_fleet_section_is_rejected(change, message):
+    assert fleet_config(VALID_SECTION, "a").advertise == ("127.0.0.1", 7946)
     with pytest.raises(ValueError, match=re.escape(message)):
-        fleet_config({**GOOD, **change}, "a")
+        fleet_config({**VALID_SECTION, **change}, "a")
 
 
 # --- Fleets on a virtual clock ------------------------------------------------------------------------
 @pytest.mark.parametrize("size", [2, 5, 20, 60])
-def test_a_fleet_forms_and_detects_a_death_within_a_time_that_hardly_grows_with_its_size(size):
+def test_join_and_failure_detection_times_stay_bounded_as_the_fleet_grows(size):
     fleet = Fleet(size, 1)
-    assert fleet.run(20.0, fleet.agreed) < 10.0
+    assert fleet.run(20.0, fleet.views_agree) < 10.0
     fleet.kill("m1")
-    assert fleet.run(30.0, fleet.agreed) < 12.0
+    assert fleet.run(30.0, fleet.views_agree) < 12.0
     assert {event.member for event in fleet.events_of("dead")} == {"m1"}
 
 
-faults = st.lists(
+fault_scripts = st.lists(
     st.tuples(
         st.sampled_from(["kill", "start", "stop", "resume", "cut", "one way", "heal"]),
         st.integers(0, 5),
@@ -318,7 +327,7 @@
 
 
 def apply_fault(fleet: Fleet, fault: str, number: int) -> None:
-    """Apply one fault to member `number`, if it can be; "cut" and "one way" replace an earlier cut."""
+    """Apply a fault to member `number` if its state allows it; "cut" and "one way" replace an earlier cut."""
     name = f"m{number}"
     if fault == "kill" and name in fleet.members and len(fleet.members) > 1:
         fleet.kill(name)
@@ -329,31 +338,33 @@
     elif fault == "resume" and name in fleet.stopped:
         fleet.resume(name)
     elif fault == "cut":
-        fleet.is_cut = lambda a, b, n=number: (int(a[1:]) <= n) != (int(b[1:]) <= n)
+        fleet.is_cut = lambda sender, receiver, last=number: (
+            (int(sender[1:]) <= last) != (int(receiver[1:]) <= last)
+        )
     elif fault == "one way":
-        fleet.is_cut = lambda a, b, n=name: a == n
+        fleet.is_cut = lambda sender, receiver, cut_sender=name: sender == cut_sender
     elif fault == "heal":
-        fleet.is_cut = lambda a, b: False
+        fleet.is_cut = lambda sender, receiver: False
 
 
 @settings(max_examples=30, deadline=None, derandomize=True)
-@given(st.integers(0, 10**6), faults, st.floats(0.0, 0.2), st.floats(0.0, 0.3))
-def test_after_any_faults_all_running_members_agree_again(seed, script, loss, duplication):
-    """Loss, duplication, kills, restarts, stops and partitions in any order; then one view of the fleet."""
+@given(st.integers(0, 10**6), fault_scripts, st.floats(0.0, 0.2), st.floats(0.0, 0.3))
+def test_membership_views_agree_again_after_any_sequence_of_faults(seed, script, loss, duplication):
+    """Loss, duplication, kills, restarts, stops and partitions in any order must not leave views diverged."""
     fleet = Fleet(6, seed, loss, duplication)
     for fault, number, wait in script:
         apply_fault(fleet, fault, number)
         fleet.run(wait)
     for name in list(fleet.stopped):
         fleet.resume(name)
-    fleet.is_cut, fleet.loss, fleet.duplication = (lambda a, b: False), 0.0, 0.0
-    for name in ("m0", "m1"):  # the seeds: two that know nobody else find each other through them
+    fleet.is_cut, fleet.loss, fleet.duplication = (lambda sender, receiver: False), 0.0, 0.0
+    for name in ("m0", "m1"):  # the seeds: members that know no other find each other through them
         if name not in fleet.members:
             fleet.start(name)
-    assert fleet.run(120.0, fleet.agreed) < 120.0
+    assert fleet.run(120.0, fleet.views_agree) < 120.0
 
 
-def test_one_seed_gives_one_run():
+def test_runs_with_the_same_seed_are_identical():
     runs = []
     for _ in range(2):
         fleet = Fleet(8, 7, loss=0.1, duplication=0.1)
@@ -362,31 +373,31 @@
         fleet.run(8.0)
         fleet.resume("m3")
         fleet.run(5.0)
-        runs.append((fleet.log, fleet.bytes))
+        runs.append((fleet.log, fleet.sent_bytes))
     assert runs[0] == runs[1] and runs[0][0]
 
 
-def test_a_member_that_was_stopped_declares_nobody_dead_and_refutes_its_own_death():
+def test_a_resumed_member_declares_no_other_member_dead_and_refutes_its_own_death():
     fleet = Fleet(8, 3)
-    fleet.run(20.0, fleet.agreed)
+    fleet.run(20.0, fleet.views_agree)
     fleet.stop("m4")
     fleet.run(15.0)
     assert fleet.state("m0", "m4") is DEAD
     fleet.resume("m4")
-    fleet.run(20.0, fleet.agreed)
+    fleet.run(20.0, fleet.views_agree)
     assert (
-        fleet.agreed()
+        fleet.views_agree()
         and fleet.events_of("refuted")
-        and [e for e in fleet.events_of("dead") if e.observer == "m4"] == []
+        and [event for event in fleet.events_of("dead") if event.observer == "m4"] == []
     )
 
 
 @pytest.mark.parametrize(("indirect_probes", "suspected"), [(3, False), (0, True)])
-def test_indirect_probes_prevent_suspicion_by_one_that_cannot_reach_a_member(indirect_probes, suspected):
-    """Only here: between real processes refuting keeps such a member alive without indirect probes."""
+def test_indirect_probes_prevent_suspicion_after_a_one_way_cut(indirect_probes, suspected):
+    """Needs the virtual clock: between real processes, refutation keeps the member alive without them."""
     fleet = Fleet(6, 5, settings=SwimSettings(indirect_probe_count=indirect_probes))
-    fleet.run(20.0, fleet.agreed)
-    fleet.is_cut = lambda a, b: (a, b) == ("m1", "m2")
+    fleet.run(20.0, fleet.views_agree)
+    fleet.is_cut = lambda sender, receiver: (sender, receiver) == ("m1", "m2")
     cut_at = fleet.now
     fleet.run(20.0)
     assert bool(fleet.events_of("suspect", cut_at)) is suspected
--- a/tests/fleet/virtual.py
+++ b/tests/fleet/virtual.py
@@ -1,4 +1,4 @@
-"""Many members on one virtual clock; a network that loses, delays, duplicates and cuts; one seed, one run."""
+"""Simulates a fleet on a virtual clock, with message loss, delay, duplication and cuts, from a seed."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 )
 from stalltiller.fleet.codec import decode_packet, encode_packet
 
-SYNC_SECONDS = 0.005  # that a push-pull synchronisation takes
-CHECK_SECONDS = 0.05  # between checks whether a condition holds
+SYNC_SECONDS = 0.005  # duration of a push-pull synchronisation
+CHECK_INTERVAL_SECONDS = 0.05  # between evaluations of the condition that `Fleet.run` waits for
 
 
 class LoggedEvent(NamedTuple):
-    """An event that one member reported of another."""
+    """An event that `observer` reported about `member`."""
 
     at: float
     observer: str
@@ -34,7 +34,7 @@
 
 
 class Fleet:
-    """`is_cut(sender, receiver)` says whether all that the one sends to the other is lost."""
+    """A simulated fleet; `is_cut(sender, receiver)` returns whether messages in that direction are lost."""
 
     def __init__(
         self,
@@ -54,28 +54,30 @@
         self.event_count = 0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.members: dict[str, Swim] = {}
-        self.stopped: dict[str, list] = {}  # stopped members and the datagrams that wait for them
-        self.is_cut: Callable[[str, str], bool] = lambda a, b: False
+        self.stopped: dict[str, list] = {}  # datagrams queued for each member stopped by SIGSTOP
+        self.is_cut: Callable[[str, str], bool] = lambda sender, receiver: False
         self.log: list[LoggedEvent] = []
-        self.bytes: Counter[str] = Counter()
-        self.wakes: dict[str, float] = {}
-        for n in range(size):
-            self.start(f"m{n}")
+        self.sent_bytes: Counter[str] = Counter()
+        self.wake_times: dict[str, float] = {}  # time of the last scheduled tick of each member
+        for number in range(size):
+            self.start(f"m{number}")
 
     @staticmethod
     def address(name: str) -> tuple[str, int]:
         return "10.0.0.1", 1000 + int(name[1:])
 
     def start(self, name: str) -> None:
-        """Start a process under that name; its seeds are the first two members."""
+        """Start a process with a name; its seeds are the first two members."""
         settings = SwimSettings(
             **{
-                **{f: getattr(self.settings, f) for f in self.settings.__slots__},
+                **{field: getattr(self.settings, field) for field in self.settings.__slots__},
                 "seeds": (self.address("m0"), self.address("m1")),
             }
         )
-        me = Member(name, self.address(name), "ab"[int(name[1:]) % 2], start_time_ms=1 + int(self.now * 1000))
-        self.members[name] = Swim(settings, me, random.Random(self.rng.getrandbits(64)), self.now)
+        local_member = Member(
+            name, self.address(name), "ab"[int(name[1:]) % 2], start_time_ms=1 + int(self.now * 1000)
+        )
+        self.members[name] = Swim(settings, local_member, random.Random(self.rng.getrandbits(64)), self.now)
         self.wake(name)
 
     def kill(self, name: str) -> None:
@@ -83,24 +85,24 @@
         self.stopped.pop(name, None)
 
     def stop(self, name: str) -> None:
-        """SIGSTOP."""
+        """Stop a process as SIGSTOP does."""
         self.stopped[name] = []
 
     def resume(self, name: str) -> None:
-        """SIGCONT: the datagrams received meanwhile are there at once."""
+        """Resume a process as SIGCONT does: it first handles the datagrams queued meanwhile."""
         for data in self.stopped.pop(name):
             self.deliver(name, data)
-        self.wakes.pop(name, None)
+        self.wake_times.pop(name, None)
         self.wake(name)
 
-    def call_at(self, time: float, callback: Callable[[], None]) -> None:
+    def call_at(self, due_at: float, callback: Callable[[], None]) -> None:
         self.event_count += 1
-        heapq.heappush(self.events, (time, self.event_count, callback))
+        heapq.heappush(self.events, (due_at, self.event_count, callback))
 
     def wake(self, name: str) -> None:
         swim = self.members[name]
-        if self.wakes.get(name) != swim.wake_at:
-            self.wakes[name] = swim.wake_at
+        if self.wake_times.get(name) != swim.wake_at:
+            self.wake_times[name] = swim.wake_at
             self.call_at(max(self.now, swim.wake_at), lambda: self.tick(name, swim))
 
     def tick(self, name: str, swim: Swim) -> None:
@@ -115,18 +117,18 @@
                 self.log.append(LoggedEvent(self.now, name, action.kind, action.member.name))
             elif isinstance(action, SendPacket):
                 data = encode_packet("f", action.packet)
-                self.bytes[name] += len(data)
-                to = f"m{action.address[1] - 1000}"
+                self.sent_bytes[name] += len(data)
+                receiver = f"m{action.address[1] - 1000}"
                 for _ in range(1 + (self.rng.random() < self.duplication)):
-                    if not self.is_cut(name, to) and self.rng.random() >= self.loss:
+                    if not self.is_cut(name, receiver) and self.rng.random() >= self.loss:
                         self.call_at(
                             self.now + self.delay * (0.5 + self.rng.random()),
-                            lambda to=to, data=data: self.deliver(to, data),
+                            lambda receiver=receiver, data=data: self.deliver(receiver, data),
                         )
             elif isinstance(action, StartSync):
-                to = f"m{action.address[1] - 1000}"
-                if not self.is_cut(name, to) and not self.is_cut(to, name):
-                    self.call_at(self.now + SYNC_SECONDS, lambda to=to: self.sync(name, to))
+                receiver = f"m{action.address[1] - 1000}"
+                if not self.is_cut(name, receiver) and not self.is_cut(receiver, name):
+                    self.call_at(self.now + SYNC_SECONDS, lambda receiver=receiver: self.sync(name, receiver))
         if name in self.members:
             self.wake(name)
 
@@ -144,7 +146,7 @@
             self.execute(client, self.members[client].handle_sync(self.now, server_state))
 
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> float:
-        """Run for so long, or until a condition holds (see CHECK_SECONDS); return the time it took."""
+        """Run for `seconds`, or until a condition holds; return the elapsed time."""
         began_at = self.now
         end = self.now + seconds
         checked_at = self.now
@@ -152,24 +154,24 @@
             at, _, callback = heapq.heappop(self.events)
             self.now = max(self.now, at)
             callback()
-            if until is not None and self.now - checked_at >= CHECK_SECONDS:
+            if until is not None and self.now - checked_at >= CHECK_INTERVAL_SECONDS:
                 checked_at = self.now
                 if until():
                     return self.now - began_at
         self.now = end
         return seconds
 
-    def seen(self, name: str) -> set[str]:
-        """The members that a member takes to be running."""
-        return {m.name for m in self.members[name].table.known.values() if m.is_running}
+    def running_members_seen_by(self, observer: str) -> set[str]:
+        """Return the names of the members that `observer` considers running, including itself."""
+        return {member.name for member in self.members[observer].table.known.values() if member.is_running}
 
-    def agreed(self, among: set[str] | None = None) -> bool:
-        """Whether all running members (of those named) take exactly these to be running."""
+    def views_agree(self, among: set[str] | None = None) -> bool:
+        """Return whether all running members, or those in `among`, consider exactly each other running."""
         names = among or set(self.members)
-        return all(self.seen(name) == names for name in names)
+        return all(self.running_members_seen_by(name) == names for name in names)
 
     def events_of(self, kind: str, since: float = 0.0) -> list[LoggedEvent]:
-        """The reported events of a kind."""
+        """Return the events of a kind that were reported from time `since` on."""
         return [event for event in self.log if event.kind == kind and event.at >= since]
 
     def state(self, observer: str, name: str) -> MemberState | None:
