--- a/stalltiller/__init__.py
+++ b/stalltiller/__init__.py
@@ -1,4 +1,4 @@
-"""stalltiller: a storage initiator that routes requests of volumes to storage targets within their plans."""
+"""stalltiller: a storage initiator that routes volumes' requests to storage targets within their plans."""
 
 from stalltiller.scheduling.scheduler import Scheduler
 
--- a/stalltiller/scheduling/__init__.py
+++ b/stalltiller/scheduling/__init__.py
@@ -1,7 +1,7 @@
 """The scheduler and its interface.
 
 This package re-exports the settings, events and actions; `scheduling.scheduler.Scheduler` turns events
-into actions.  Nothing in it does I/O: the caller hands in the time and the random seed.
+into actions.  The package does no I/O: the caller supplies the time and the random seed.
 """
 
 from stalltiller.scheduling.actions import (
--- a/stalltiller/scheduling/actions.py
+++ b/stalltiller/scheduling/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the scheduler asks its caller to carry out, in the order in which it returns them."""
+"""Actions that the scheduler returns; its caller carries them out in order."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Send a request to a target; give the attempt up at clock time `expires_at` (None: with the client)."""
+    """Send a request to a target; the attempt times out at `expires_at` (None: client deadline)."""
 
     request_id: int
     target_id: TargetId
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: rejected; the client may safely try again after `retry_after` seconds (0: any time)."""
+    """Final response: rejected; the client may safely retry after `retry_after` seconds (0: at any time)."""
 
     request_id: int
     retry_after: float
@@ -26,14 +26,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed; the request may have been executed."""
+    """Final response: failed; the request may have been executed."""
 
     request_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Cancel one attempt; its `AttemptFinished` follows."""
+    """Cancel one attempt; an `AttemptFinished` for it follows."""
 
     request_id: int
     attempt_number: int
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a `TimerFired` with this token after `delay` seconds."""
+    """Set a timer that delivers a `TimerFired` with this token after `delay` seconds."""
 
     token: int
     delay: float
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendPeerMessage:
-    """Send bytes to one initiator, or to all others (None); delivery is not guaranteed."""
+    """Send a message to one initiator, or to all others (None); delivery is not guaranteed."""
 
     initiator_index: int | None
     data: bytes
@@ -71,14 +71,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LogMessage:
-    """A line for the operators."""
+    """Write a line to the operators' log."""
 
     text: str
 
 
 @dataclass(slots=True, frozen=True)
 class WatchTargetList:
-    """Open or close the watch on the target list."""
+    """Start or stop watching the target list."""
 
     enabled: bool
 
--- a/stalltiller/scheduling/contention.py
+++ b/stalltiller/scheduling/contention.py
@@ -1,44 +1,55 @@
-"""Estimates from this initiator's own requests how many others request a shard."""
+"""Estimates the number of other initiators that request a shard, from this initiator's requests."""
 
 import math
 from collections.abc import Container
 
 from stalltiller.common import DecayingMean
 
-HALF_LIFE_SECONDS = 2.0  # over which demand and the parts of other initiators are averaged
-PRIOR_SHAPE = 2.0  # of a gamma prior: the spread of how much shards are requested is 0.7 of the mean
+HALF_LIFE_SECONDS = 2.0  # averages of demand and of requests have this half-life
+# Shape of the gamma prior of requests per shard: the standard deviation is 0.7 of the mean.
+PRIOR_SHAPE = 2.0
 
 
 class ContentionEstimator:
-    """Which volumes requested which shards here, how often, and through how many other initiators."""
+    """Request rates by shard and volume at this initiator, and each volume's initiator count."""
 
     def __init__(self) -> None:
-        self.requested_at: dict[int, float] = {}  # by shard: the last request
-        self.volumes_by_shard: dict[int, dict[int, tuple[DecayingMean, int]]] = {}  # and initiators of each
+        self.requested_at: dict[int, float] = {}  # time of the last request, by shard
+        # By shard and volume: the request rate and the volume's initiator count.
+        self.volumes_by_shard: dict[int, dict[int, tuple[DecayingMean, int]]] = {}
 
     def record(self, now: float, shard: int, volume: int, volume_initiator_count: int) -> None:
-        """Count a request."""
+        """Count a request of a volume for a shard."""
         self.requested_at[shard] = now
         volumes = self.volumes_by_shard.setdefault(shard, {})
         mean = volumes[volume][0] if volume in volumes else DecayingMean(now, HALF_LIFE_SECONDS)
         mean.add(now, 1.0)
         volumes[volume] = mean, volume_initiator_count
 
-    def forget(self, since: float, known: Container[int]) -> None:
-        """Forget shards not requested since then, and volumes that are not known any more."""
+    def prune(self, since: float, known_volumes: Container[int]) -> None:
+        """Remove shards not requested after `since`, and volumes that are no longer known."""
         self.requested_at = {shard: at for shard, at in self.requested_at.items() if at > since}
         self.volumes_by_shard = {
-            shard: {volume: seen for volume, seen in self.volumes_by_shard[shard].items() if volume in known}
+            shard: {
+                volume: rate_and_count
+                for volume, rate_and_count in self.volumes_by_shard[shard].items()
+                if volume in known_volumes
+            }
             for shard in self.requested_at
         }
 
-    def other_initiators(self, now: float, shard: int, initiators: int, shards: int, span: float) -> float:
-        """Return how many other initiators are taken to request a shard within `span` seconds."""
-        # As many as for a mean shard if others request as this one does, times how much busier it is by the
-        # volumes seen there, plus the other initiators of those volumes, each with its chance of a request.
+    def other_initiators(
+        self, now: float, shard: int, initiator_count: int, shard_count: int, window: float
+    ) -> float:
+        """Return the estimated number of other initiators that request a shard within `window` seconds."""
+        # Each other initiator requests a shard with the probability of this one, scaled by the volumes seen
+        # at the shard over the mean.  The other initiators of those volumes are added, each with its
+        # probability of a request.
         volumes = self.volumes_by_shard.get(shard, {})
-        requested = sum(at > now - span for at in self.requested_at.values()) / max(1, shards)
-        mean_volumes = sum(map(len, self.volumes_by_shard.values())) / max(1, shards)
-        chance = min(1.0, requested * (PRIOR_SHAPE + len(volumes)) / (PRIOR_SHAPE + mean_volumes))
-        own = sum((count - 1) * (1.0 - math.exp(-mean.rate(now) * span)) for mean, count in volumes.values())
-        return min(initiators - 1.0, (initiators - 1) * chance + own)
+        requested = sum(at > now - window for at in self.requested_at.values()) / max(1, shard_count)
+        mean_volumes = sum(map(len, self.volumes_by_shard.values())) / max(1, shard_count)
+        probability = min(1.0, requested * (PRIOR_SHAPE + len(volumes)) / (PRIOR_SHAPE + mean_volumes))
+        volume_initiators = sum(
+            (count - 1) * (1.0 - math.exp(-mean.rate(now) * window)) for mean, count in volumes.values()
+        )
+        return min(initiator_count - 1.0, (initiator_count - 1) * probability + volume_initiators)
--- a/stalltiller/scheduling/events.py
+++ b/stalltiller/scheduling/events.py
@@ -1,6 +1,6 @@
 """Events that the scheduler handles.
 
-Times are seconds on one monotonic clock of the caller's choosing, durations are seconds.
+Times are seconds on one monotonic clock that the caller chooses; durations are seconds.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
     REJECTED, CONNECT_FAILED and NOT_STARTED prove that the target did not execute the request: it was at
     capacity, could not be reached, or the attempt was dropped before it was sent.  After an ERROR, a
-    TIMEOUT, a RESET of the connection or a CANCELLED attempt the request may have been executed.
+    TIMEOUT, a RESET of the connection or a CANCELLED attempt, the request may have been executed.
     """
 
     OK = "ok"
@@ -32,17 +32,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A request accepted from a client, which must get one final answer.
+    """A request accepted from a client, which must get exactly one final response.
 
-    request_id: unique; a client's next try has another one.
+    request_id: unique; a client's retry has a new one.
     class_index, plan_index: positions in `Settings.classes` and `Settings.plans`.
-    volume: the volume that it belongs to.
-    units: its size, as reservations, limits and values count it.
-    volume_initiator_count: number of initiators through which the volume's requests arrive.
-    idempotency_key: identifies the data that it reads or writes, 0 for none.
-    shard: the shard that holds the data, None for a new object, which any target may take.
-    is_write, is_retry: whether it writes, and whether the client marked it as a repeat.
-    time_remaining: seconds until the client gives this try up.
+    volume: the volume that the request belongs to.
+    units: size of the request, in the units of reservations, limits and value weights.
+    volume_initiator_count: number of initiators that receive requests of the volume.
+    idempotency_key: identifies the data that the request reads or writes, 0 for none.
+    shard: the shard that holds the data, None for a new object, which any target may store.
+    is_write, is_retry: whether the request writes, and whether the client marked it as a retry.
+    time_remaining: seconds until the client times out.
     """
 
     request_id: int
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FirstByte:
-    """A streamed answer has begun, `latency` seconds after its send; the client receives the rest."""
+    """A streamed response has begun, `latency` seconds after the send; its rest goes to the client."""
 
     request_id: int
     attempt_number: int
@@ -70,16 +70,16 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptFinished:
-    """An attempt is over.
+    """An attempt has ended.
 
-    request_id, attempt_number: which; a request's attempts are numbered from 0.
-    target_id: the target that it was sent to.
-    status: how it ended.
-    latency: seconds since its send.
-    request_done: the request has its final answer, by this result or before.
+    request_id, attempt_number: identify the attempt; a request's attempts are numbered from 0.
+    target_id: the target that the attempt was sent to.
+    status: how the attempt ended.
+    latency: seconds since the attempt was sent.
+    request_done: the request has its final response, by this result or an earlier one.
     volume_usage: metered use of the volume over all initiators in a past period, as a multiple of its
-        plan's rate; None where there is none.
-    other_units: units that the shard served for the volume through other initiators since its last answer.
+        plan's rate; None if the result carries no meter reading.
+    other_units: units that the shard served for the volume through other initiators since its last response.
     report: the target's load report, in the order of `Settings.report_fields`.
     """
 
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has disconnected: the request needs no answer any more."""
+    """The client has disconnected: the request no longer needs a response."""
 
     request_id: int
 
@@ -110,14 +110,14 @@
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """Other settings apply from now on; later `Request`s index classes and plans by them."""
+    """New settings are in effect; class and plan indices of later `Request`s refer to them."""
 
     settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeFinished:
-    """The result of a probe: seconds since its send, and the target's load report."""
+    """The result of a probe: its latency in seconds, its status and the target's load report."""
 
     target_id: TargetId
     latency: float
@@ -127,7 +127,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """Bytes from another initiator, as its `SendPeerMessage` gave them."""
+    """A message from another initiator, as passed to `SendPeerMessage` there."""
 
     sender_index: int
     data: bytes
--- a/stalltiller/scheduling/settings.py
+++ b/stalltiller/scheduling/settings.py
@@ -1,7 +1,7 @@
 """Settings of the scheduler: request classes, volume plans and the rules of a deployment.
 
-Durations are seconds, work is counted in units and rates in units per second.  A setting that a deployment
-does not state is None, or 0 where 0 means "none".  The classes are immutable; whoever builds them owns them.
+Durations are in seconds, work is in units and rates are in units per second.  A setting that a deployment
+does not state is None, or 0 where 0 means "none".  The classes are immutable.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 class Idempotency(Enum):
     """Whether a request of a class may be executed more than once.
 
-    SAFE requests may be repeated at will.  Requests with an IDEMPOTENCY_KEY may be repeated where the
-    targets drop the repeat (see `DeduplicationScope`).  UNSAFE requests may be repeated only after every
-    earlier attempt has proved never to have been executed.
+    SAFE requests may be retried at any time.  Requests with an IDEMPOTENCY_KEY may be retried at targets
+    that drop duplicates (see `DeduplicationScope`).  UNSAFE requests may be retried only if no earlier
+    attempt can have been executed.
     """
 
     SAFE = "safe"
@@ -24,9 +24,9 @@
 
 
 class DeduplicationScope(Enum):
-    """Which targets drop the repeat of a request with an idempotency key that one of them has executed.
+    """Which targets drop a duplicate of a request with an idempotency key that a target has executed.
 
-    ALL of them, those of its ZONE, or those of its SHARD.
+    ALL targets, those in the ZONE of that target, or those of its SHARD.
     """
 
     ALL = "all"
@@ -36,19 +36,19 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A kind of request: its latency objective, its deadline and what a repeat of it may do.
+    """A class of requests with one latency objective, deadline and retry behaviour.
 
-    name: identifies the class; what is learnt of a class stays with its name when settings change.
-    latency_objective: seconds from the client's first try within which an answer earns its full value.
+    name: identifies the class; statistics of a class are kept under its name when settings change.
+    latency_objective: seconds from the client's first try within which a response earns its full value.
     deadline: seconds that a client waits, over all of its tries.
     priority_weight: value of one request of mean size, relative to the other classes.
-    late_value_fraction: part of the value that an answer after the objective earns, in [0, 1].
+    late_value_fraction: fraction of the value that a response after the objective earns, in [0, 1].
     idempotency: whether a request may be executed again.
-    deduplication_scope: for IDEMPOTENCY_KEY, which targets drop repeats.
-    deduplication_window: for IDEMPOTENCY_KEY, seconds from the first attempt for which they do.
-    streaming: the answer arrives as a stream, which `FirstByte` reports.
+    deduplication_scope: for IDEMPOTENCY_KEY, which targets drop duplicates.
+    deduplication_window: for IDEMPOTENCY_KEY, seconds from the first attempt for which they drop them.
+    streaming: the response arrives as a stream, whose start `FirstByte` reports.
     in_order: requests of one idempotency key run one at a time, in their order of arrival.
-    is_write: None if the class does not state it; each request then says whether it is a write.
+    is_write: None if the class does not state it; each request then states whether it is a write.
     """
 
     name: str
@@ -66,16 +66,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """What a volume is guaranteed and limited to, over all initiators and targets.
+    """The guarantees and limits of a volume, over all initiators and targets.
 
     name: identifies the plan when settings change.
-    rate: units per second for which such a volume is sized.
+    rate: units per second for which a volume of this plan is sized.
     reservation: units per second that earn their full value, 0 for none.
-    weight: the volume's share of what a target serves beyond the reservations, relative to other volumes.
-    price_weight: factor on the value of its requests.
+    weight: share of a target's capacity beyond the reservations, relative to other volumes.
+    price_weight: factor on the value of the volume's requests.
     limit: units per second at which the limit's token bucket fills, 0 for no limit.
-    burst: depth of this bucket in units.
-    slack: units by which the bucket may fall below zero.
+    burst: depth of the limit's token bucket in units.
+    slack: units by which the limit's token bucket may fall below zero.
     """
 
     name: str
@@ -90,19 +90,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """Figures of the deployment's rules; None where it does not have the rule.
-
-    answer_slack: seconds after the client's deadline within which a final answer still counts.
-    drain_grace: seconds after the notice that a target drains by which requests to it must have ended.
-    slow_start_initial_fraction: fraction of its capacity that a target has at its start, at least.
-    slow_start_duration: seconds after its start by which it has its full capacity.
-    overload_factor: multiple of its capacity at which a warming target fails,
-    overload_window: if it is sent that much for this many seconds.
-    list_poll_interval: seconds after which an initiator that polls has to fetch the target list again.
-    ordering_pause: seconds for which a key rests after an attempt that may still be running.
-    retry_budget_base: further attempts allowed in a window however few the requests,
-    retry_budget_fraction: and for each request accepted in it.
-    retry_budget_window: length of this window in seconds.
+    """Parameters of the deployment's rules; None if the deployment does not have the rule.
+
+    answer_slack: seconds after the client's deadline within which a final response still counts.
+    drain_grace: seconds after the notice of a target's drain by which requests to it must have ended.
+    slow_start_initial_fraction: minimum fraction of its capacity that a target has when it starts.
+    slow_start_duration: seconds from a target's start until it has its full capacity.
+    overload_factor: multiple of its capacity at which a warming target fails if the load lasts for
+    overload_window: this many seconds.
+    list_poll_interval: maximum seconds between fetches of the target list by an initiator that polls.
+    ordering_pause: seconds for which an ordered key is paused after an attempt that may still be running.
+    retry_budget_base: retries allowed in a window regardless of the number of requests,
+    retry_budget_fraction: and additional retries for each request accepted in the window.
+    retry_budget_window: length of the retry budget's window in seconds.
     """
 
     answer_slack: float
@@ -120,29 +120,29 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that an initiator knows of its deployment.
+    """The settings of one initiator and its deployment.
 
-    initiator_index, initiator_count: its place among the initiators, from 0, and their number.
-    zone: where it runs.
-    tick: seconds between batches of events, at least.
-    classes, plans: by their index, which requests carry.
-    rules: the figures of the deployment's rules.
+    initiator_index, initiator_count: index of this initiator, from 0, and number of initiators.
+    zone: zone in which this initiator runs.
+    tick: minimum seconds between batches of events.
+    classes, plans: request classes and plans; requests refer to them by index.
+    rules: parameters of the deployment's rules.
     mean_units, max_units: size of the mean and of the largest request.
-    slow_start_units: units that a target which has just started bears in `Rules.overload_window`, sent by
-        all initiators together.
+    slow_start_units: units that all initiators together may send in `Rules.overload_window` to a target
+        that has just started.
     within_share_weight: factor on the value of units beyond the reservation within the volume's share,
-    beyond_share_weight: and beyond both.
+    beyond_share_weight: and on the value of units beyond both.
     meter_period: seconds over which `AttemptFinished.volume_usage` is counted, 0 for no meter.
-    other_usage_reported: answers carry `AttemptFinished.other_units`.
-    list_pushed: changes of the target list arrive unasked; else it has to be watched or fetched.
-    report_fields: names of the values of a target's load report, in its order.
-    reports_in_answers: answers carry load reports; else only probes do, if any.
+    other_usage_reported: responses carry `AttemptFinished.other_units`.
+    list_pushed: changes of the target list are pushed; otherwise it has to be watched or fetched.
+    report_fields: names of the values in a target's load report, in order.
+    reports_in_answers: responses carry load reports; otherwise only probes do, if any.
     may_probe, may_message, may_cancel, may_hedge, may_send_retry_after: which actions the deployment
-        permits: probes, messages among initiators, cancelled attempts, two attempts of a request at once,
-        and a delay with a rejection.
-    max_retry_after: longest such delay in seconds that clients follow.
-    max_attempts: attempts of one request, the first included.
-    retries_marked: clients mark a request that repeats an earlier one.
+        permits: probes, messages among initiators, cancelled attempts, hedged requests, and a retry delay
+        with a rejection.
+    max_retry_after: longest retry delay in seconds that clients follow.
+    max_attempts: maximum attempts of one request, including the first.
+    retries_marked: clients mark retries of an earlier request.
     """
 
     initiator_index: int
--- a/stalltiller/scheduling/targets.py
+++ b/stalltiller/scheduling/targets.py
@@ -1,15 +1,15 @@
-"""Storage targets as the target list describes them, and updates of that list."""
+"""Entries of the target list, and updates of the list."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
-TargetId = int | str  # any value that can be ordered; those of one scheduler are of one type
+TargetId = int | str  # all targets of one scheduler have the same type of id, so that ids can be ordered
 
 
 class TargetStatus(Enum):
-    """State of a target in the target list: only READY ones get requests."""
+    """State of a target in the target list; only READY targets receive requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -19,8 +19,8 @@
 class TargetListKind(Enum):
     """Kind of a target list update.
 
-    A DELTA holds the targets that changed, FULL the whole list, CACHED a whole list that may be old.
-    FAILED says that the watch on the list has broken off; what was known stays valid.
+    DELTA holds the targets that changed, FULL the whole list, and CACHED a whole list that may be outdated.
+    FAILED reports that the watch on the list was interrupted; the known targets stay valid.
     """
 
     DELTA = "delta"
@@ -33,12 +33,12 @@
 class Target:
     """One entry of the target list.
 
-    target_id: identifies the target; it carries no order.
-    zone, kind: index of its zone and of its kind of machine.
+    target_id: identifies the target; the order of ids has no meaning.
+    zone, kind: index of the target's zone and of its machine type.
     shard: the group of targets that hold the same data.
-    status: whether it may get requests.
-    weight: its size as the list states it, relative to other targets.
-    started_at: clock time of its start in seconds, None if it has long been up.
+    status: whether the target may receive requests.
+    weight: size of the target relative to other targets, as the list states it.
+    started_at: clock time of the target's start in seconds, None if it started long ago.
     """
 
     target_id: TargetId
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TargetListUpdate:
-    """A change of the target list, or the whole of it (see `TargetListKind`)."""
+    """Changed entries of the target list, or the whole list (see `TargetListKind`)."""
 
     kind: TargetListKind
     targets: tuple[Target, ...]
--- a/tests/test_contention.py
+++ b/tests/test_contention.py
@@ -53,7 +53,7 @@
 def test_unused_shards_and_unknown_volumes_are_forgotten():
     recorded = estimator((1, 1, 3), (1, 2, 3), (2, 1, 1))
     recorded.record(5.0, 1, 1, 3)
-    recorded.forget(2.0, {1})
+    recorded.prune(2.0, {1})
     assert set(recorded.requested_at) == {1} and set(recorded.volumes_by_shard[1]) == {1}
 
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -78,7 +78,7 @@
     idle = add_allocation(harness, 1, 9.0, 9.0)
     idle.open_count = 0
     half, tenth = add_allocation(harness, 2, 10.0, 20.0), add_allocation(harness, 3, 18.0, 20.0)
-    harness.scheduler.now = admission.IDLE_SECONDS + 0.1
+    harness.scheduler.now = admission.VOLUME_IDLE_SECONDS + 0.1
     harness.scheduler._reclaim_idle_grants(target)
     # remaining ratios 0.5 and 0.1: nine units go 7.5 to 1.5
     assert (half.grant, tenth.grant) == (pytest.approx(17.5), pytest.approx(19.5))
@@ -88,7 +88,7 @@
 def test_each_uncongested_period_releases_a_tenth_of_the_reserve_and_congestion_restores_it():
     harness = SchedulerHarness()
     target = target_of_capacity(harness, 100.0)
-    harness.scheduler.now = 2.5 * admission.RESERVE_RELEASE_SECONDS  # two periods
+    harness.scheduler.now = 2.5 * admission.RESERVE_RELEASE_INTERVAL_SECONDS  # two periods
     allocation_after_test(harness, 3)
     assert target.reserve_fraction == pytest.approx(0.30 * 0.8)
     add_allocation(harness, 1, 90.0, 90.0)
@@ -101,7 +101,7 @@
     harness.feed(0.0, request(1, volume_initiator_count=3))
     allocation = harness.scheduler.targets[1].allocations[1]
     allocation.demand.add(0.0, 1000.0)
-    requested_rate, _ = harness.scheduler._rates(allocation)
+    requested_rate, _ = harness.scheduler._requested_and_reserved_rates(allocation)
     assert requested_rate == pytest.approx(4.0)
 
 
@@ -177,7 +177,7 @@
     harness = SchedulerHarness(targets=(entry(1, started_at=0.0),))
     target = harness.scheduler.targets[1]
     harness.scheduler._has_slow_start_budget(target, 2.0)
-    target.slow_start_draw = 1.0  # no more than the whole budget
+    target.slow_start_threshold = 1.0  # no more than the whole budget
     budget = 40.0 * target_load.SLOW_START_BUDGET_FRACTION / 2
     assert harness.sends(0.0, request(1, units=budget)) == [1]
     assert not harness.scheduler._has_slow_start_budget(target, 2.0)
@@ -268,7 +268,7 @@
     )
     target.allocations[1].bucket.level = 9.0  # within its grant
     assert first + [a.request_id for a in harness.poll(0.01)] == [1, 3]
-    assert harness.sends(scheduler.SAME_KEY_SECONDS + 0.001, request(4, idempotency_key=5)) == []
+    assert harness.sends(scheduler.SAME_KEY_WINDOW_SECONDS + 0.001, request(4, idempotency_key=5)) == []
 
 
 def test_requests_without_a_key_may_not_exceed_the_limit():
