--- a/tests/test_contention.py
+++ b/tests/test_contention.py
@@ -1,4 +1,4 @@
-"""Estimates of contention at a shard, and two hundred initiators at one target that warms up."""
+"""Tests of the contention estimate for a shard, and of two hundred initiators at one warming target."""
 
 from __future__ import annotations
 
@@ -25,42 +25,50 @@
 STARTED_AT, SLOW_START_SECONDS, INITIAL_FRACTION, UNITS = 3.0, 17.0, 0.15, 1.0
 
 
-def estimator(*requests: tuple[int, int, int]) -> ContentionEstimator:
-    """An estimator that recorded each (shard, volume, initiators) ten times within a second."""
-    recorded = ContentionEstimator()
+def estimator_with(*requests: tuple[int, int, int]) -> ContentionEstimator:
+    """Return an estimator that recorded each (shard, volume, initiators) ten times within a second."""
+    estimator = ContentionEstimator()
     for number in range(10):
         for shard, volume, initiators in requests:
-            recorded.record(number / 10, shard, volume, initiators)
-    return recorded
+            estimator.record(number / 10, shard, volume, initiators)
+    return estimator
 
 
 @pytest.mark.parametrize(
     ("requests", "lower", "upper"),
     [
         ([], 0.0, 0.0),
-        ([(9, 1, 1)], 0.9, 1.1),  # another shard only: a mean one is requested by one in two hundred
-        ([(1, 1, 1)], 1.2, 1.8),  # this shard: it may be busier than the mean
-        ([(1, 1, 3)], 2.8, 3.8),  # and two more initiators of a busy volume
-        ([(1, v, 1) for v in range(20)], 8.0, 12.0),  # many volumes: a busy shard
-        ([(c, 1, 1) for c in range(1, 201)], 199.0, 199.0),  # each shard is requested
-        ([(1, v, 3) for v in range(500)], 199.0, 199.0),  # never more than there are
+        (
+            [(9, 1, 1)],
+            0.9,
+            1.1,
+        ),  # only another shard: the mean shard is requested by one initiator in two hundred
+        ([(1, 1, 1)], 1.2, 1.8),  # this shard, which may be busier than the mean
+        ([(1, 1, 3)], 2.8, 3.8),  # this shard, and two more initiators of a busy volume
+        ([(1, v, 1) for v in range(20)], 8.0, 12.0),  # many volumes request this shard
+        ([(c, 1, 1) for c in range(1, 201)], 199.0, 199.0),  # every shard is requested
+        (
+            [(1, v, 3) for v in range(500)],
+            199.0,
+            199.0,
+        ),  # the estimate never exceeds the number of other initiators
     ],
 )
-def test_contention_grows_with_volumes_and_their_initiators_up_to_all_others(requests, lower, upper):
-    assert lower <= estimator(*requests).other_initiators(0.95, 1, INITIATORS, SHARDS, 1.0) <= upper
+def test_estimate_grows_with_volumes_and_their_initiators_up_to_all_other_initiators(requests, lower, upper):
+    assert lower <= estimator_with(*requests).other_initiators(0.95, 1, INITIATORS, SHARDS, 1.0) <= upper
 
 
-def test_unused_shards_and_unknown_volumes_are_forgotten():
-    recorded = estimator((1, 1, 3), (1, 2, 3), (2, 1, 1))
-    recorded.record(5.0, 1, 1, 3)
-    recorded.prune(2.0, {1})
-    assert set(recorded.requested_at) == {1} and set(recorded.volumes_by_shard[1]) == {1}
+def test_unused_shards_and_unknown_volumes_are_removed():
+    estimator = estimator_with((1, 1, 3), (1, 2, 3), (2, 1, 1))
+    estimator.record(5.0, 1, 1, 3)
+    estimator.prune(2.0, {1})
+    assert set(estimator.requested_at) == {1} and set(estimator.volumes_by_shard[1]) == {1}
 
 
 class WarmingFleet:
-    """Two hundred initiators and a busy shard whose target is replaced by one that warms up.
+    """Two hundred initiators and a busy shard whose target is replaced by a warming one.
 
-    The target serves requests in order and rejects those that would wait for more than a second.
+    The target serves requests in order and rejects requests that would wait for more than one second.
     """
 
     def __init__(self, seed: int, busy_fraction: float) -> None:
@@ -94,7 +102,7 @@
         self.volumes = volumes
 
     def capacity(self, now: float) -> float:
-        """Units per second."""
+        """Return the target's capacity in units per second."""
         return 12.0 * (
             INITIAL_FRACTION + (1 - INITIAL_FRACTION) * min(1.0, (now - STARTED_AT) / SLOW_START_SECONDS)
         )
@@ -116,7 +124,7 @@
                     )
 
     def run(self, seconds: float) -> float:
-        """The most units sent in a second, over what is allowed: twice the present capacity."""
+        """Return the maximum units sent in a second, over the allowed units: twice the current capacity."""
         sums = list(itertools.accumulate(weight for _, _, weight in self.volumes))
         now = 0.0
         while now < seconds:
@@ -144,51 +152,51 @@
                 )
             else:
                 self.schedulers[index].contention.record(now, shard, volume, len(initiators))
-        worst, total, span = 0.0, 0.0, deque()
+        worst, total, window = 0.0, 0.0, deque()
         for at, units in self.sent:
-            span.append((at, units))
+            window.append((at, units))
             total += units
-            while span[0][0] <= at - 1.0:
-                total -= span.popleft()[1]
+            while window[0][0] <= at - 1.0:
+                total -= window.popleft()[1]
             worst = max(worst, total / (2 * self.capacity(at)))
         return worst
 
 
 def mean_results(busy_fraction: float = 0.02) -> tuple[float, float]:
-    """Means over four seeds of the worst second (see `run`) and of the units sent."""
+    """Return the means over four seeds of the result of `run` and of the units sent."""
     fleets = [WarmingFleet(seed, busy_fraction) for seed in range(4)]
     worst = [fleet.run(18.0) for fleet in fleets]
     return sum(worst) / 4, sum(units for fleet in fleets for _, units in fleet.sent) / 4
 
 
 def test_two_hundred_initiators_use_the_warming_target_of_a_busy_shard_without_overload():
-    """Found on herd+mass (journal c557bf07), where a warming target was sent 4.1 times what it could do."""
+    """In the herd+mass scenario (journal c557bf07), a warming target got 4.1 times its capacity."""
     worst, sent = mean_results()
     assert worst < 1.0 and sent > 40.0
 
 
-def test_an_estimate_by_the_number_of_requested_shards_alone_overloads_it(monkeypatch):
-    def other_initiators(self, now, shard, initiators, shards, span):
-        chance = sum(at > now - span for at in self.requested_at.values()) / shards
-        others = (initiators - 1) * chance
-        return others + (others * (1 - chance)) ** 0.5
+def test_an_estimate_from_the_number_of_requested_shards_alone_overloads_a_warming_target(monkeypatch):
+    def other_initiators(self, now, shard, initiator_count, shard_count, window):
+        probability = sum(at > now - window for at in self.requested_at.values()) / shard_count
+        others = (initiator_count - 1) * probability
+        return others + (others * (1 - probability)) ** 0.5
 
     monkeypatch.setattr(ContentionEstimator, "other_initiators", other_initiators)
     monkeypatch.setattr(target_load, "MIN_OVERLOAD_BACKOFF", 1.0)
     assert mean_results()[0] > 1.1
 
 
-def test_a_rejecting_or_slow_warming_target_gets_a_smaller_share_until_it_answers_in_time():
+def test_a_rejecting_or_slow_warming_target_gets_a_smaller_share_until_it_responds_in_time():
     scheduler = Scheduler(settings(initiator_count=1, rules=rules(slow_start_duration=100.0)), 1, 0.0)
     scheduler.handle(0.0, [TargetListUpdate(TargetListKind.FULL, (entry(1, started_at=0.0),))])
     backoffs = []
-    answers = [
+    results = [
         (AttemptStatus.OK, 0.9),
         (AttemptStatus.OK, 0.05),
         (AttemptStatus.OK, 0.05),
         (AttemptStatus.REJECTED, 0.001),
     ]
-    for number, (status, latency) in enumerate(answers):
+    for number, (status, latency) in enumerate(results):
         now = 10.0 + number
         scheduler.handle(now, [request(number)])
         scheduler.handle(now + latency, [outcome(number, status=status, latency=latency)])
--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -1,9 +1,9 @@
-"""The same events and seed give the same actions as in version f5167fe.
+"""Regression test: the same events and seed give the same actions as commit f5167fe.
 
-The scenarios cover what simulated days do not reach: messages among schedulers, lists that are polled, keyed
-and ordered classes, settings that change, warming targets, budgets and metered use.  The digests stand in
-`fixtures/decision_digests.json`, made with f5167fe by `python -m tests.test_decision_digest`.  A change of
-decisions that is meant changes them; a rename must not.
+The scenarios cover what simulated days do not reach: messages among schedulers, polled target lists, keyed
+and ordered classes, changed settings, warming targets, retry budgets and metered usage.  The digests are in
+`fixtures/decision_digests.json`, generated at f5167fe by `python -m tests.test_decision_digest`.  They change
+with an intended change of decisions only, not with a rename.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 DIGESTS = Path(__file__).parent / "fixtures" / "decision_digests.json"
 SEEDS = (1, 2, 3)
-READY, DRAINING, GONE = TargetStatus.READY, TargetStatus.DRAINING, TargetStatus.REMOVED
+READY, DRAINING, REMOVED = TargetStatus.READY, TargetStatus.DRAINING, TargetStatus.REMOVED
 TARGETS = tuple(entry(number, shard=number % 3, zone=number % 2) for number in range(1, 7))
 FAILURES = (
     (AttemptStatus.REJECTED, 0.08),
@@ -69,82 +69,82 @@
 STREAMED = (request_class(name="stream", streaming=True), request_class(name="read", latency_objective=0.4))
 
 
-def listed(kind: TargetListKind, *entries: Target) -> TargetListUpdate:
+def list_update(kind: TargetListKind, *entries: Target) -> TargetListUpdate:
     return TargetListUpdate(kind, entries)
 
 
 def tokens() -> Scenario:
-    """Three schedulers borrow tokens from each other; after a long pause volumes are forgotten."""
+    """Three schedulers borrow tokens from each other; volumes are removed in a long pause of the load."""
     return Scenario(
         frozenset({"send", "refuse", "ask", "ask all", "grant", "tokens granted", "timer"}),
         settings(may_message=True, classes=CLASSES, plans=LIMITED),
-        schedulers=3,
+        scheduler_count=3,
         targets=TARGETS,
         arrivals=((0.0, 6.0, 120.0), (36.5, 39.0, 120.0)),
-        skewed=True,
+        is_skewed=True,
     )
 
 
 def tokens_handed_over() -> Scenario:
-    """Tokens are counted from the activation on, and none accrue after the deactivation."""
+    """Tokens accrue only from the activation to the deactivation of a scheduler."""
     return Scenario(
         frozenset({"send", "refuse", "ask", "grant", "tokens granted"}),
         settings(may_message=True, classes=CLASSES, plans=LIMITED),
-        schedulers=2,
+        scheduler_count=2,
         targets=TARGETS,
-        skewed=True,
-        failures=FAILURES,
+        is_skewed=True,
+        failure_fractions=FAILURES,
         activate_at=0.5,
         deactivate_at=3.0,
     )
 
 
 def polled() -> Scenario:
-    """The list must be polled, and discovery fails often."""
+    """The target list is not pushed, and its watch fails often."""
     return Scenario(
-        frozenset({"watch", "timer to watch", "send", "refuse"}),
+        frozenset({"watch", "watch timer", "send", "refuse"}),
         settings(list_pushed=False, rules=rules(list_poll_interval=0.5), classes=CLASSES),
         targets=TARGETS,
     )
 
 
 def keyed() -> Scenario:
-    """Keyed requests of every scope are retried where that is safe."""
+    """Requests with idempotency keys of each deduplication scope are retried where that is safe."""
     return Scenario(
-        frozenset({"send", "send again", "refuse", "fail"}),
+        frozenset({"send", "retry", "refuse", "fail"}),
         settings(classes=(*KEYED, *CLASSES), max_attempts=4),
         targets=TARGETS,
-        failures=FAILURES,
-        changes=((3.0, listed(TargetListKind.DELTA, entry(3, shard=0, zone=1, status=DRAINING))),),
+        failure_fractions=FAILURES,
+        list_updates=((3.0, list_update(TargetListKind.DELTA, entry(3, shard=0, zone=1, status=DRAINING))),),
     )
 
 
 def ordered() -> Scenario:
-    """Requests of one key run one at a time, with a pause after one that may have been executed."""
+    """Requests of one key run one at a time, with a pause after a possibly executed attempt."""
     return Scenario(
-        frozenset({"send", "send again", "refuse", "fail", "timer"}),
+        frozenset({"send", "retry", "refuse", "fail", "timer"}),
         settings(classes=ORDERED, rules=rules(ordering_pause=0.2)),
         targets=TARGETS,
-        failures=FAILURES,
+        failure_fractions=FAILURES,
         arrivals=((0.0, 6.0, 40.0),),
     )
 
 
 def streamed() -> Scenario:
-    """Answers begin before they end; attempts that stay silent are cancelled."""
+    """Responses are streamed; attempts without a response are cancelled."""
     return Scenario(
-        frozenset({"send", "send again", "cancel", "refuse"}),
+        frozenset({"send", "retry", "cancel", "refuse"}),
         settings(classes=STREAMED),
         targets=TARGETS[:3],
         arrivals=((0.0, 6.0, 120.0),),
-        silent=0.05,
-        disconnecting=0.15,
+        unanswered_fraction=0.05,
+        disconnecting_fraction=0.15,
     )
 
 
 def updated() -> Scenario:
-    """Settings change: classes and plans are added, removed, reordered and changed."""
-    changed = settings(
+    """Changed settings add, remove, reorder and change classes and plans."""
+    changed_settings = settings(
         classes=(
             request_class(name="write", idempotency=Idempotency.UNSAFE, latency_objective=0.4),
             *CLASSES[:1],
@@ -153,52 +153,54 @@
         max_attempts=1,
         may_send_retry_after=False,
     )
-    last = settings(classes=KEYED[:2], plans=LIMITED[:1], max_attempts=5, mean_units=5.0, max_units=6.0)
+    last_settings = settings(
+        classes=KEYED[:2], plans=LIMITED[:1], max_attempts=5, mean_units=5.0, max_units=6.0
+    )
     return Scenario(
-        frozenset({"send", "send again", "refuse", "fail"}),
+        frozenset({"send", "retry", "refuse", "fail"}),
         settings(classes=CLASSES, plans=LIMITED),
         targets=TARGETS,
-        failures=FAILURES,
-        updates=((2.0, changed), (4.0, last)),
+        failure_fractions=FAILURES,
+        settings_changes=((2.0, changed_settings), (4.0, last_settings)),
     )
 
 
 def cold() -> Scenario:
-    """Targets that have just started, drain, are removed and start again."""
+    """Targets that have just started, drain, are removed or restart."""
     started = tuple(entry(number, shard=number % 3, started_at=0.4 * number - 1.0) for number in range(4, 7))
     return Scenario(
-        frozenset({"send", "send again", "refuse"}),
+        frozenset({"send", "retry", "refuse"}),
         settings(classes=CLASSES, slow_start_units=20.0),
-        schedulers=3,
+        scheduler_count=3,
         targets=(*TARGETS[:1], *started),
-        failures=FAILURES,
+        failure_fractions=FAILURES,
         arrivals=((0.0, 8.0, 120.0),),
-        changes=(
-            (2.0, listed(TargetListKind.DELTA, entry(1, shard=1, status=DRAINING))),
+        list_updates=(
+            (2.0, list_update(TargetListKind.DELTA, entry(1, shard=1, status=DRAINING))),
             (
                 3.0,
-                listed(
-                    TargetListKind.DELTA, entry(4, shard=1, status=GONE), entry(9, shard=2, started_at=3.0)
+                list_update(
+                    TargetListKind.DELTA, entry(4, shard=1, status=REMOVED), entry(9, shard=2, started_at=3.0)
                 ),
             ),
-            (4.0, listed(TargetListKind.FULL, *started[1:], entry(1, shard=1, started_at=4.0))),
-            (5.0, listed(TargetListKind.CACHED, *started, entry(9, shard=2, started_at=5.0))),
+            (4.0, list_update(TargetListKind.FULL, *started[1:], entry(1, shard=1, started_at=4.0))),
+            (5.0, list_update(TargetListKind.CACHED, *started, entry(9, shard=2, started_at=5.0))),
         ),
     )
 
 
 def fraction_of_budget(target: str, needed: float) -> float:
-    """A fleet's answer to what fraction of a warming target's budget may be used."""
+    """Return the fraction of a warming target's budget that a fleet would allow a member."""
     return min(1.0, needed) / (2 + int(target) % 2)
 
 
 def cold_in_fleet() -> Scenario:
-    """Warming targets whose budgets a fleet divides."""
+    """A fleet divides the budgets of warming targets among its members."""
     targets = tuple(entry(number, shard=number % 2, started_at=-0.5 * number) for number in range(1, 5))
     return Scenario(
         frozenset({"send", "refuse"}),
         settings(classes=CLASSES, slow_start_units=20.0),
-        schedulers=2,
+        scheduler_count=2,
         targets=targets,
         budget_fraction=fraction_of_budget,
     )
@@ -207,18 +209,18 @@
 def budgets() -> Scenario:
     """Retries are bounded by a base and a fraction of the accepted requests."""
     return Scenario(
-        frozenset({"send", "send again", "refuse", "fail"}),
+        frozenset({"send", "retry", "refuse", "fail"}),
         settings(
             classes=CLASSES,
             rules=rules(retry_budget_base=2.0, retry_budget_fraction=0.05, retry_budget_window=1.0),
         ),
         targets=TARGETS,
-        failures=FAILURES,
+        failure_fractions=FAILURES,
     )
 
 
 def metered() -> Scenario:
-    """Results report a volume's use while targets are overloaded, so grants and reservations decide."""
+    """Results report a volume's usage, and targets are overloaded: grants and reservations take effect."""
     plans = (
         plan(name="gold", rate=60.0, reservation=30.0, weight=3.0, price_weight=3.0),
         plan(name="bronze"),
@@ -226,39 +228,39 @@
     return Scenario(
         frozenset({"send", "refuse"}),
         settings(classes=CLASSES, plans=plans, other_usage_reported=False),
-        schedulers=2,
+        scheduler_count=2,
         targets=TARGETS[:3],
         arrivals=((0.0, 8.0, 150.0),),
-        metered=True,
+        is_metered=True,
         base_latency=0.08,
-        latency_each=0.03,
+        latency_per_attempt=0.03,
     )
 
 
 def others_told() -> Scenario:
-    """As `metered`, but results report the units of other initiators."""
+    """Like `metered`, but results report the units of other initiators."""
     base = metered()
     return Scenario(
-        base.expected,
+        base.expected_notes,
         settings(classes=CLASSES, plans=base.settings.plans, other_usage_reported=True),
-        schedulers=2,
+        scheduler_count=2,
         targets=base.targets,
         arrivals=base.arrivals,
-        metered=True,
+        is_metered=True,
         base_latency=base.base_latency,
-        latency_each=base.latency_each,
+        latency_per_attempt=base.latency_per_attempt,
     )
 
 
 def tokens_among_many() -> Scenario:
-    """More schedulers than one sends token requests to at once."""
+    """More schedulers than the maximum number of receivers of a token request."""
     return Scenario(
         frozenset({"send", "refuse", "ask", "ask all", "grant", "tokens granted"}),
         settings(may_message=True, classes=CLASSES, plans=LIMITED, max_units=4.0),
-        schedulers=6,
+        scheduler_count=6,
         targets=TARGETS,
         arrivals=((0.0, 5.0, 150.0),),
-        skewed=True,
+        is_skewed=True,
     )
 
 
@@ -275,7 +277,7 @@
         targets=TARGETS[:2],
         arrivals=((0.0, 4.0, 120.0), (6.0, 8.0, 20.0), (9.0, 12.0, 250.0), (15.0, 18.0, 200.0)),
         base_latency=0.06,
-        latency_each=0.004,
+        latency_per_attempt=0.004,
     )
 
 
@@ -286,7 +288,7 @@
         settings(classes=(*CLASSES, *KEYED[:1])),
         targets=TARGETS[:2],
         arrivals=((0.0, 2.0, 600.0),),
-        latency_each=0.0,
+        latency_per_attempt=0.0,
     )
 
 
@@ -299,11 +301,11 @@
         entry(4, shard=2, started_at=0.0),
     )
     return Scenario(
-        frozenset({"send", "send again", "refuse"}),
+        frozenset({"send", "retry", "refuse"}),
         settings(classes=(*CLASSES, *KEYED[:1]), max_attempts=5, slow_start_units=60.0),
         targets=targets,
         arrivals=((0.0, 8.0, 100.0),),
-        failures=((AttemptStatus.REJECTED, 0.6), (AttemptStatus.CONNECT_FAILED, 0.1)),
+        failure_fractions=((AttemptStatus.REJECTED, 0.6), (AttemptStatus.CONNECT_FAILED, 0.1)),
     )
 
 
@@ -331,8 +333,8 @@
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
 def test_decisions_are_those_of_f5167fe(scenario, seed):
     world = World(scenario(), seed)
-    digest = world.play()
-    assert world.scenario.expected <= {note for note, count in world.notes.items() if count}
+    digest = world.run()
+    assert world.scenario.expected_notes <= {note for note, count in world.notes.items() if count}
     assert digest == json.loads(DIGESTS.read_text())[f"{scenario.__name__} {seed}"]
 
 
@@ -344,8 +346,12 @@
 
 
 def write_digests() -> None:
-    """Write the digests of the code as it is.  Run on f5167fe; again only for a change of decisions."""
-    digests = {f"{each.__name__} {seed}": World(each(), seed).play() for each in SCENARIOS for seed in SEEDS}
+    """Write the digests of the current code.  Generated at f5167fe; rerun only for a change of decisions."""
+    digests = {
+        f"{scenario.__name__} {seed}": World(scenario(), seed).run()
+        for scenario in SCENARIOS
+        for seed in SEEDS
+    }
     DIGESTS.write_text(json.dumps(digests, indent=2) + "\n")
 
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The design's ordinary path, with worked figures."""
+"""Tests of admission, scheduling and load control with worked examples."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def add_allocation(
     harness: SchedulerHarness, volume_id: int, grant: float, requested_rate: float, **changes: object
 ) -> VolumeAllocation:
-    """Put a volume with a grant at target 1."""
+    """Add an allocation of a volume with the given grant at target 1."""
     allocation = VolumeAllocation(Volume(plan(**changes), 1, 0.0), 0.0)
     allocation.grant, allocation.requested_rate, allocation.open_count = grant, requested_rate, 1
     harness.scheduler.targets[1].allocations[volume_id] = allocation
@@ -29,17 +29,15 @@
 
 
 def target_of_capacity(harness: SchedulerHarness, capacity: float):
-    """Target 1 with a latency that makes its capacity the given units per second."""
+    """Return target 1 with a latency that gives it a capacity in units per second."""
     target = harness.scheduler.targets[1]
     target.latency = target_load.MAX_CONCURRENCY * harness.scheduler.settings.mean_units / capacity
     assert harness.scheduler._capacity(target) == pytest.approx(capacity)
     return target
 
 
-def allocation_after_test(
-    harness: SchedulerHarness, volume_id: int = 2, **changes: object
-) -> VolumeAllocation:
-    """The allocation of a volume that requests its plan's rate (10) at a target of capacity 100."""
+def updated_allocation(harness: SchedulerHarness, volume_id: int = 2, **changes: object) -> VolumeAllocation:
+    """Return the updated allocation of a volume that requests its plan's rate, 10, at a capacity of 100."""
     target = target_of_capacity(harness, 100.0)
     allocation = add_allocation(harness, volume_id, 0.0, 0.0, **changes)
     harness.scheduler._update_grant(target, allocation)
@@ -48,28 +46,28 @@
 
 def test_an_uncongested_volume_is_granted_its_requested_rate():
     harness = SchedulerHarness()
-    add_allocation(harness, 1, 70.0, 70.0)  # used 70 <= 100 - 30
-    assert allocation_after_test(harness).grant == pytest.approx(10.0)
+    add_allocation(harness, 1, 70.0, 70.0)  # granted 70 <= capacity 100 - reserve 30
+    assert updated_allocation(harness).grant == pytest.approx(10.0)
 
 
-def test_a_congested_volume_is_granted_psi():
+def test_a_volume_at_a_congested_target_is_granted_part_of_the_free_reserve():
     harness = SchedulerHarness()
     add_allocation(harness, 1, 95.0, 95.0)
-    # free reserve 5, used - reserve = 65: psi = 5 / 2**0.65
-    assert allocation_after_test(harness, reservation=0.0).grant == pytest.approx(5 / 2**0.65)
+    # The free reserve is 5 and granted - reserve = 65: psi = 5 / 2**0.65.
+    assert updated_allocation(harness, reservation=0.0).grant == pytest.approx(5 / 2**0.65)
 
 
-def test_psi_is_weighted_by_the_plan_over_the_mean():
+def test_a_grant_at_a_congested_target_is_weighted_by_the_plan_relative_to_the_mean_weight():
     harness = SchedulerHarness()
     add_allocation(harness, 1, 95.0, 95.0, weight=1.0)
-    allocation = allocation_after_test(harness, reservation=0.0, weight=3.0)  # mean weight 2, w = 1.5
+    allocation = updated_allocation(harness, reservation=0.0, weight=3.0)  # 1.5 times the mean weight of 2
     assert allocation.grant == pytest.approx(1.5 * 5 / 2**0.65)
 
 
-def test_a_grant_is_never_below_the_reservation_slice():
+def test_a_grant_is_never_below_the_volumes_part_of_its_reservation():
     harness = SchedulerHarness()
-    add_allocation(harness, 1, 100.0, 100.0)  # no free reserve: psi is 0
-    assert allocation_after_test(harness, reservation=4.0).grant == pytest.approx(4.0)
+    add_allocation(harness, 1, 100.0, 100.0)  # no reserve is free: psi is 0
+    assert updated_allocation(harness, reservation=4.0).grant == pytest.approx(4.0)
 
 
 def test_grants_of_idle_volumes_are_redistributed_by_remaining_ratio():
@@ -77,22 +75,23 @@
     target = target_of_capacity(harness, 100.0)
     idle = add_allocation(harness, 1, 9.0, 9.0)
     idle.open_count = 0
-    half, tenth = add_allocation(harness, 2, 10.0, 20.0), add_allocation(harness, 3, 18.0, 20.0)
+    half_granted = add_allocation(harness, 2, 10.0, 20.0)
+    mostly_granted = add_allocation(harness, 3, 18.0, 20.0)
     harness.scheduler.now = admission.VOLUME_IDLE_SECONDS + 0.1
     harness.scheduler._reclaim_idle_grants(target)
-    # remaining ratios 0.5 and 0.1: nine units go 7.5 to 1.5
-    assert (half.grant, tenth.grant) == (pytest.approx(17.5), pytest.approx(19.5))
+    # The remaining ratios are 0.5 and 0.1, so the nine units are split into 7.5 and 1.5.
+    assert (half_granted.grant, mostly_granted.grant) == (pytest.approx(17.5), pytest.approx(19.5))
     assert 1 not in target.allocations
 
 
-def test_each_uncongested_period_releases_a_tenth_of_the_reserve_and_congestion_restores_it():
+def test_each_uncongested_interval_releases_a_tenth_of_the_reserve_and_congestion_restores_it():
     harness = SchedulerHarness()
     target = target_of_capacity(harness, 100.0)
-    harness.scheduler.now = 2.5 * admission.RESERVE_RELEASE_INTERVAL_SECONDS  # two periods
-    allocation_after_test(harness, 3)
+    harness.scheduler.now = 2.5 * admission.RESERVE_RELEASE_INTERVAL_SECONDS  # two release intervals
+    updated_allocation(harness, 3)
     assert target.reserve_fraction == pytest.approx(0.30 * 0.8)
     add_allocation(harness, 1, 90.0, 90.0)
-    allocation_after_test(harness)
+    updated_allocation(harness)
     assert target.reserve_fraction == pytest.approx(0.30)
 
 
@@ -108,12 +107,12 @@
 def test_the_used_concurrency_halves_on_a_rejection_and_grows_by_one_once_a_round_trip():
     harness = SchedulerHarness()
     target = harness.scheduler.targets[1]
-    size = int(target.concurrency_limit)
-    harness.feed(1.0, *[request(i) for i in range(size)])
+    initial_limit = int(target.concurrency_limit)
+    harness.feed(1.0, *[request(i) for i in range(initial_limit)])
     harness.feed(1.1, *[outcome(i) for i in range(1)])
-    assert target.concurrency_limit == pytest.approx(size + 1 / size)
+    assert target.concurrency_limit == pytest.approx(initial_limit + 1 / initial_limit)
     harness.feed(2.0, outcome(1, status=AttemptStatus.REJECTED), outcome(2, status=AttemptStatus.REJECTED))
-    assert target.concurrency_limit == pytest.approx(1.5)  # half of the three that were in flight
+    assert target.concurrency_limit == pytest.approx(1.5)  # half of the three attempts in flight
 
 
 def test_the_concurrency_limit_stops_at_its_maximum():
@@ -126,7 +125,7 @@
     assert target.concurrency_limit == target_load.MAX_CONCURRENCY
 
 
-def test_the_earliest_due_is_served_first_and_grants_before_best_effort():
+def test_the_request_due_first_is_served_first_and_grants_are_served_before_best_effort():
     classes = (request_class(latency_objective=2.0), request_class(latency_objective=1.0))
     harness = SchedulerHarness(classes=classes)
     target = harness.scheduler.targets[1]
@@ -137,7 +136,7 @@
     assert harness.sends(20.0, request(2), request(3, class_index=1)) == []
     target.concurrency_limit = 1.0
     assert harness.sends(20.01, outcome(1, latency=0.6)) == [3]
-    # volume 9 has no grant left at the target: it waits although it is due first
+    # Volume 9 has no grant left at the target: its request waits although it is due first.
     target.allocations[1].bucket.level = 50.0
     harness.feed(20.02, request(4, class_index=1, volume=9))
     target.allocations[9].grant = target.allocations[9].bucket.level = -1.0
@@ -145,7 +144,7 @@
     assert harness.sends(20.03, outcome(3, latency=0.6)) == [2]
 
 
-def test_early_rejection_with_retry_after_only_when_the_objective_is_out_of_reach():
+def test_a_request_is_rejected_early_with_retry_after_only_if_it_would_miss_its_objective():
     harness = SchedulerHarness()
     target = harness.scheduler.targets[1]
     target.concurrency_limit, target.latency = 1.0, 0.3
@@ -159,25 +158,25 @@
 def test_a_new_object_goes_to_the_least_loaded_target_that_is_not_warming_up():
     harness = SchedulerHarness(targets=(entry(1), entry(2), entry(3, started_at=0.0)))
     harness.scheduler.targets[1].in_flight = dict.fromkeys(range(90, 93))
-    (send,) = harness.feed(0.0, request(1, shard=None))
-    assert send.target_id == 2
+    (attempt,) = harness.feed(0.0, request(1, shard=None))
+    assert attempt.target_id == 2
 
 
 def test_the_same_events_give_the_same_actions():
-    def play() -> list[Action]:
+    def run() -> list[Action]:
         harness = SchedulerHarness(targets=(entry(1), entry(2)))
         actions = harness.feed(0.0, *[request(i, shard=None, volume=i % 3) for i in range(40)])
         return actions + harness.feed(0.3, *[outcome(i) for i in range(40)]) + harness.poll(0.9)
 
-    assert play() == play() != []
+    assert run() == run() != []
 
 
 def test_units_that_a_warming_target_serves_return_to_its_budget():
-    """A restarted target was starved long after it could serve: its budget grew with time only."""
+    """A budget that grew with time only left a restarted target idle long after it could serve."""
     harness = SchedulerHarness(targets=(entry(1, started_at=0.0),))
     target = harness.scheduler.targets[1]
     harness.scheduler._has_slow_start_budget(target, 2.0)
-    target.slow_start_threshold = 1.0  # no more than the whole budget
+    target.slow_start_threshold = 1.0  # a request needs budget for its full size
     budget = 40.0 * target_load.SLOW_START_BUDGET_FRACTION / 2
     assert harness.sends(0.0, request(1, units=budget)) == [1]
     assert not harness.scheduler._has_slow_start_budget(target, 2.0)
@@ -185,7 +184,7 @@
     assert harness.scheduler._has_slow_start_budget(target, 2.0)
 
 
-def test_the_least_valuable_request_before_a_late_one_is_shed():
+def test_the_least_valuable_request_before_one_that_would_be_late_is_shed():
     classes = (
         request_class(latency_objective=1.0, priority_weight=1.0),
         request_class(latency_objective=1.1, priority_weight=4.0),
@@ -199,36 +198,37 @@
 
 
 def test_a_target_that_refuses_connections_is_paused():
-    """Requests used up their attempts on a target that was down, all at once."""
+    """Without the pause, requests used up all their attempts immediately on a target that was down."""
     harness = SchedulerHarness()
     harness.feed(0.0, request(1), request(2))
-    down = AttemptStatus.CONNECT_FAILED
-    assert harness.feed(0.01, outcome(1, status=down), outcome(2, status=down)) == []
+    status = AttemptStatus.CONNECT_FAILED
+    assert harness.feed(0.01, outcome(1, status=status), outcome(2, status=status)) == []
     assert [a.request_id for a in harness.poll(0.011 + target_load.INITIAL_PAUSE_SECONDS)] == [1, 2]
 
 
 def test_an_attempt_expires_soon_after_its_latency_objective():
-    """Lost answers counted as in flight up to the client's deadline."""
-    (send,) = SchedulerHarness().feed(0.0, request(1))
-    assert 1.0 < send.expires_at < 1.2
+    """Otherwise an attempt with a lost response counts as in flight until the client's deadline."""
+    (attempt,) = SchedulerHarness().feed(0.0, request(1))
+    assert 1.0 < attempt.expires_at < 1.2
 
 
-def test_a_timeout_as_long_as_a_late_answer_halves_the_used_concurrency():
+def test_a_timeout_as_long_as_a_slow_response_halves_the_used_concurrency():
     harness = SchedulerHarness()
     harness.feed(0.0, request(1))
-    size = harness.scheduler.targets[1].concurrency_limit
+    initial_limit = harness.scheduler.targets[1].concurrency_limit
     harness.feed(0.6, outcome(1, status=AttemptStatus.TIMEOUT, latency=0.6))
     assert (
-        size == state.INITIAL_CONCURRENCY and harness.scheduler.targets[1].concurrency_limit == 0.5
-    )  # half of that in flight
+        initial_limit == state.INITIAL_CONCURRENCY and harness.scheduler.targets[1].concurrency_limit == 0.5
+    )  # half of the one attempt in flight
 
 
 def test_a_limit_below_one_paces_requests_beyond_the_reservation():
-    """A minimum of one, times hundreds of initiators, floods a target of a few slots."""
+    """A minimum of one attempt per initiator overloads a target of few slots with hundreds of initiators."""
     harness = SchedulerHarness()
     target = harness.scheduler.targets[1]
     target.concurrency_limit, target.latency = 0.1, 0.05
-    harness.feed(0.0, request(1))  # the next may go after latency / limit, 0.25 to 0.75 s with the jitter
+    # The next request may be sent after latency / limit, which the jitter varies from 0.25 to 0.75 s.
+    harness.feed(0.0, request(1))
     harness.scheduler.volumes[1].reservation.level = -100.0
     harness.feed(0.3, outcome(1, status=AttemptStatus.ERROR, request_done=True))
     target.paced_until = 0.5
@@ -246,11 +246,15 @@
     assert harness.sends(0.0, request(2)) == [1]
 
 
-def test_a_limit_below_one_is_cut_only_by_congestion_and_doubled_by_timely_answers():
+def test_a_limit_below_one_is_halved_only_by_congestion_and_doubled_by_timely_responses():
     harness = SchedulerHarness()
     target = harness.scheduler.targets[1]
-    floor = target_load.MIN_CONCURRENCY
-    for number, latency, before, after in [(1, 0.3, 0.4, 0.8), (2, 0.5, 0.4, 0.2), (3, 0.5, floor, floor)]:
+    minimum = target_load.MIN_CONCURRENCY
+    for number, latency, before, after in [
+        (1, 0.3, 0.4, 0.8),
+        (2, 0.5, 0.4, 0.2),
+        (3, 0.5, minimum, minimum),
+    ]:
         now = number * 5.0
         harness.feed(now, request(number))
         target.concurrency_limit = before
@@ -258,7 +262,7 @@
         assert target.concurrency_limit == pytest.approx(after)
 
 
-def test_successive_requests_for_the_same_data_may_exceed_the_limit():
+def test_successive_requests_for_the_same_data_may_exceed_the_concurrency_limit():
     harness = SchedulerHarness()
     target = harness.scheduler.targets[1]
     target.concurrency_limit = 1.0
@@ -266,28 +270,28 @@
     first = harness.sends(
         0.0, request(1, idempotency_key=5), request(2, idempotency_key=6), request(3, idempotency_key=5)
     )
-    target.allocations[1].bucket.level = 9.0  # within its grant
+    target.allocations[1].bucket.level = 9.0  # within the volume's grant
     assert first + [a.request_id for a in harness.poll(0.01)] == [1, 3]
     assert harness.sends(scheduler.SAME_KEY_WINDOW_SECONDS + 0.001, request(4, idempotency_key=5)) == []
 
 
-def test_requests_without_a_key_may_not_exceed_the_limit():
+def test_requests_without_a_key_may_not_exceed_the_concurrency_limit():
     harness = SchedulerHarness()
     harness.scheduler.targets[1].concurrency_limit = 1.0
     assert harness.sends(0.0, request(1), request(2)) == [1]
 
 
 def test_most_of_a_limit_is_reserved_for_the_classes_of_the_highest_weight():
-    """A class that can wait spent the tokens as they came, and reads of the same volume were rejected."""
+    """Without the reserve, a class with a long objective spent all tokens, and reads were rejected."""
     classes = (
         request_class(name="read", priority_weight=3.0),
         request_class(name="export", priority_weight=1.0, latency_objective=2.5),
     )
-    harness = SchedulerHarness(classes=classes, plans=(plan(limit=10.0, burst=28.0),))  # 18 reserved
-    assert harness.sends(1.0, request(1, class_index=1)) == []  # 10 tokens
+    harness = SchedulerHarness(classes=classes, plans=(plan(limit=10.0, burst=28.0),))  # 18 tokens reserved
+    assert harness.sends(1.0, request(1, class_index=1)) == []  # 10 tokens in the bucket
     assert harness.sends(1.1, request(2)) == [2]
     assert harness.sends(1.2, outcome(2)) == []
-    assert harness.sends(3.0, TimerFired(1)) == [1]  # full: what comes in would be lost
+    assert harness.sends(3.0, TimerFired(1)) == [1]  # the bucket is full: further tokens would be lost
 
 
 def test_a_bucket_that_holds_one_request_serves_every_class():
