--- a/stalltiller/scheduling/scheduler.py
+++ b/stalltiller/scheduling/scheduler.py
@@ -21,7 +21,7 @@
 MIN_LATENCY_FRACTION = 0.6  # a response takes at least this fraction of the mean latency
 # No attempt starts for a client that waits no longer than this multiple of the mean latency.
 ABANDONED_FACTOR = 1.2
-# A request that no target has received within this fraction of the client's time is rejected or failed.
+# A request that no target has fully received in this fraction of the client's time is rejected or failed.
 MAX_UNSENT_FRACTION = 0.5
 # An overtaken attempt counts as lost after this multiple of its expected latency, plus the margin.
 LOST_FACTOR = 2.0
@@ -293,7 +293,7 @@
         return shed
 
     def _will_be_abandoned(self, target: TargetState, pending: PendingRequest) -> bool:
-        """Whether the client will time out before a response; early timeouts and retries waste capacity."""
+        """Whether the client will time out before a response: clients that retry early would waste work."""
         expected = ABANDONED_FACTOR * target.latency * self._relative_size(pending)
         return self.now + expected >= pending.deadline - ANSWER_MARGIN_SECONDS
 
