--- a/stalltiller/common/__init__.py
+++ b/stalltiller/common/__init__.py
@@ -1,4 +1,4 @@
-"""Small data structures and helpers that several packages share; nothing here decides or does I/O."""
+"""Small data structures and helpers shared by several packages, without scheduling decisions or I/O."""
 
 from stalltiller.common.decaying_mean import DecayingMean
 from stalltiller.common.keyed_queues import KeyedQueues
--- a/stalltiller/common/decaying_mean.py
+++ b/stalltiller/common/decaying_mean.py
@@ -1,4 +1,4 @@
-"""A rate averaged over the recent past with exponentially decreasing weights."""
+"""An exponentially weighted moving average of a rate."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         self._updated_at = updated_at
 
     def add(self, now: float, amount: float) -> None:
-        """Count an amount at a time that is not before the last one."""
+        """Add an amount; `now` must not be earlier than in the call before."""
         self._decay(now)
         self.total += amount
 
@@ -25,7 +25,7 @@
         return self.total / (self._half_life * INVERSE_LN_2)
 
     def set_rate(self, now: float, rate: float) -> None:
-        """Replace what was counted so that `rate` reads as given at `now`."""
+        """Replace the sum so that the rate at `now` is `rate`."""
         self.total = rate * self._half_life * INVERSE_LN_2
         self._updated_at = now
 
--- a/stalltiller/common/errors.py
+++ b/stalltiller/common/errors.py
@@ -1,12 +1,12 @@
-"""The base of the package's own exceptions; it has no state and prints nothing."""
+"""The base class of the package's own exceptions."""
 
 from __future__ import annotations
 
 
 class StalltillerError(Exception):
-    """An error with one plain line of text for operators, and what it is about.
+    """An error with a one-line message for operators and the place of its cause.
 
-    `key` is the setting or field at fault, and `path` the file that it stands in; each is None if unknown.
+    `key` is the invalid setting or field, and `path` the file that contains it; each is None if unknown.
     """
 
     def __init__(self, message: str, *, key: str | None = None, path: str | None = None) -> None:
--- a/stalltiller/common/sliding_window.py
+++ b/stalltiller/common/sliding_window.py
@@ -6,19 +6,19 @@
 
 
 class SlidingWindowSum:
-    """Amounts with the time of each; those that leave the window are subtracted when the sum is read."""
+    """Amounts with timestamps; those that have left the window are subtracted when the sum is read."""
 
     def __init__(self) -> None:
         self._amounts: deque[tuple[float, float]] = deque()  # (time, amount), oldest first
         self._total = 0.0
 
     def add(self, now: float, amount: float) -> None:
-        """Count an amount at a time that is not before the last one."""
+        """Add an amount; `now` must not be earlier than in the call before."""
         self._amounts.append((now, amount))
         self._total += amount
 
     def total_since(self, start: float) -> float:
-        """Drop what is as old as `start` or older, and return the sum of the rest."""
+        """Remove the amounts of `start` and earlier, and return the sum of the rest."""
         while self._amounts and self._amounts[0][0] <= start:
             self._total -= self._amounts.popleft()[1]
         return self._total
--- a/stalltiller/common/token_bucket.py
+++ b/stalltiller/common/token_bucket.py
@@ -6,8 +6,8 @@
 class TokenBucket:
     """Tokens that accrue at a rate up to a depth.
 
-    Rate and depth are handed in at each refill, since both may change between two of them.  The owner may
-    draw the level below zero; a refill then pays the debt first.
+    Rate and depth are arguments of each refill, since both may change between refills.  The owner may lower
+    the level below zero; refills then make up the deficit first.
     """
 
     def __init__(self, level: float, updated_at: float) -> None:
--- a/stalltiller/routing/__init__.py
+++ b/stalltiller/routing/__init__.py
@@ -1,4 +1,4 @@
 """Request routing: the engine between the scheduler and the protocol adapters.
 
-The package knows no wire format.  Adapters meet it at the interfaces in `ports`.
+The package is independent of wire formats.  Adapters use the interfaces in `ports`.
 """
--- a/stalltiller/routing/action_dispatch.py
+++ b/stalltiller/routing/action_dispatch.py
@@ -1,7 +1,7 @@
-"""Carries out the scheduler's actions, and holds back what the rules forbid.
+"""Carries out the scheduler's actions and blocks those that would break an invariant of the engine.
 
-The dispatcher decides nothing.  An action that breaks a rule of `guard.GuardViolation` is logged and counted
-and not carried out; a forbidden attempt is reported to the scheduler as not started.
+The dispatcher makes no decisions.  An action that breaks an invariant of `guard.GuardViolation` is logged,
+counted and not carried out; a blocked attempt is reported to the scheduler as not started.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from stalltiller.routing.guard import GuardViolation
 from stalltiller.routing.ports import Attempt, TargetEndpoint
 from stalltiller.routing.request_state import RequestOutcome, RequestState
-from stalltiller.routing.request_table import MILLISECONDS, RequestTable
+from stalltiller.routing.request_table import MILLISECONDS_PER_SECOND, RequestTable
 from stalltiller.routing.slow_start_state import SlowStartState
 from stalltiller.routing.target_table import TargetTable
 from stalltiller.routing.timers import TimerQueue
@@ -35,8 +35,10 @@
     TimerFired,
 )
 
-ANSWER_MARGIN_SECONDS = 0.015  # the scheduler's deadline is so much earlier: the way back, a late batch
-RETRY_MARGIN_SECONDS = 0.02  # no retry starts so shortly before targets may forget its idempotency key
+# The scheduler's deadline precedes the client's by this margin, for late batches and the response's way back.
+RESPONSE_MARGIN_SECONDS = 0.015
+# No keyed retry starts within this margin before targets may forget its idempotency key.
+DEDUPLICATION_MARGIN_SECONDS = 0.02
 
 
 class ActionDispatcher:
@@ -61,8 +63,8 @@
     def dispatch(self, action: Action) -> None:
         """Carry out one action.
 
-        Probes and calls for the target list are ignored: the platform has no probes, and the daemon watches
-        the list all the time.
+        Probes and watches of the target list are ignored: the platform has no probes, and the daemon watches
+        the list continuously.
         """
         match action:
             case StartAttempt():
@@ -83,9 +85,9 @@
             case LogMessage():
                 self._context.log("decision", text=action.text)
 
-    # --- Final answers ----------------------------------------------------------------------------
+    # --- Final responses --------------------------------------------------------------------------
     def _reject(self, action: Reject) -> None:
-        state = self._get_unanswered(action.request_id)
+        state = self._get_open_or_report(action.request_id)
         if state is None:
             return
         handler = state.client_request.response_handler
@@ -99,15 +101,15 @@
         handler.reject(self._context.admission_gate.retry_after(retry_after))
 
     def _fail(self, action: Fail) -> None:
-        state = self._get_unanswered(action.request_id)
+        state = self._get_open_or_report(action.request_id)
         if state is not None:
             self._requests.finish(state, RequestOutcome.FAILED)
             state.client_request.response_handler.fail()
 
-    def _get_unanswered(self, request_id: int) -> RequestState | None:
+    def _get_open_or_report(self, request_id: int) -> RequestState | None:
         state = self._requests.get_open(request_id)
         if state is None:
-            self._context.report_violation(GuardViolation.ANSWERED_TWICE, id=request_id)
+            self._context.report_violation(GuardViolation.RESPONDED_TWICE, id=request_id)
         return state
 
     # --- Attempts ---------------------------------------------------------------------------------
@@ -137,7 +139,7 @@
             self._context.report_violation(violation, id=action.request_id, target=action.target_id)
             self._report_not_started(action, number, request_done=False)
             return
-        assert endpoint is not None  # or it was a violation
+        assert endpoint is not None  # `_find_violation` blocks unlisted targets
         attempt = self._make_attempt(action, state, number, endpoint, latest_start, now)
         state.in_flight = attempt
         self._record_attempt_started(attempt, state)
@@ -152,7 +154,7 @@
         latest_start: float | None,
         now: float,
     ) -> GuardViolation | None:
-        """Why an attempt must not start now; None if it may."""
+        """Return why an attempt must not start now; None if it may."""
         if state.in_flight is not None:
             return GuardViolation.CONCURRENT_ATTEMPT
         if state.possibly_executed and state.request_class.idempotency is Idempotency.UNSAFE:
@@ -164,17 +166,19 @@
         return None
 
     def _latest_start(self, state: RequestState, target_id: TargetId) -> float | None:
-        """The time from which an attempt must not start; None if there is no such time.
+        """Return the time from which an attempt must not start; None if its start is not limited.
 
-        It is set by the target's drain and, for a retry under an idempotency key, by the time until which
-        targets recognise it.
+        The limit is the end of the target's drain grace and, for a keyed retry after an attempt that may have
+        been executed, the end of the deduplication window.
         """
         drain_grace = self._context.settings.rules.drain_grace
         latest_start = self._targets.latest_start(target_id, drain_grace)
         request_class = state.request_class
         if state.possibly_executed and request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
-            forgotten_at = state.first_executed_at + request_class.deduplication_window - RETRY_MARGIN_SECONDS
-            latest_start = forgotten_at if latest_start is None else min(latest_start, forgotten_at)
+            latest_retry = (
+                state.first_executed_at + request_class.deduplication_window - DEDUPLICATION_MARGIN_SECONDS
+            )
+            latest_start = latest_retry if latest_start is None else min(latest_start, latest_retry)
         return latest_start
 
     def _make_attempt(
@@ -186,7 +190,7 @@
         latest_start: float | None,
         now: float,
     ) -> Attempt:
-        expires_at = state.deadline - ANSWER_MARGIN_SECONDS
+        expires_at = state.deadline - RESPONSE_MARGIN_SECONDS
         if action.expires_at is not None:
             expires_at = min(expires_at, action.expires_at + self._context.scheduler_epoch)
         return Attempt(
@@ -206,7 +210,7 @@
         self._timers.call_at(attempt.expires_at, self._requests.expire, attempt)
         latest_start = attempt.latest_start
         if state.possibly_executed and latest_start is not None and latest_start < attempt.expires_at:
-            self._timers.call_at(latest_start, self._requests.withdraw, attempt)
+            self._timers.call_at(latest_start, self._requests.cancel_if_unsent, attempt)
 
     def _record_attempt_started(self, attempt: Attempt, state: RequestState) -> None:
         self._context.counts[COUNT_ATTEMPTS] += 1
@@ -217,7 +221,7 @@
                 id=attempt.request_id,
                 attempt=attempt.number,
                 target=attempt.target_id,
-                waited_ms=round(MILLISECONDS * waited_seconds, 1),
+                waited_ms=round(MILLISECONDS_PER_SECOND * waited_seconds, 1),
                 slow_start=self._slow_start_state(attempt.target_id),
             )
 
--- a/stalltiller/routing/context.py
+++ b/stalltiller/routing/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one engine share: its clock, settings, collaborators, counters and logs."""
+"""State shared by the components of one engine: clock, settings, collaborators, counters and logs."""
 
 from __future__ import annotations
 
@@ -11,10 +11,9 @@
 from stalltiller.routing.ports import AdmissionGate, Attempt, ClientRequest, TargetClient
 from stalltiller.scheduling import Settings, TargetId
 
-Logger = Callable[..., None]  # called with the name of an event and its details as keywords
+Logger = Callable[..., None]  # takes the event's name and its details as keyword arguments
 
-
-# Names of exported counters, besides the values of `RequestOutcome` and `attempt_STATUS` for each status.
+# Names of exported counters; others are the values of `RequestOutcome` and `attempt_STATUS` for each status.
 COUNT_RECEIVED = "taken"
 COUNT_NOT_ADMITTED = "turned_back"
 COUNT_ATTEMPTS = "attempts"
@@ -22,59 +21,63 @@
 
 
 class AdmitAll:
-    """The admission gate of an engine that was given none."""
+    """The default admission gate, which admits every request."""
 
     def admit(self, _client_request: ClientRequest) -> float:
         """Admit every request."""
         return 0.0
 
     def retry_after(self, delay: float) -> float:
-        """Keep the scheduler's delay."""
+        """Return the scheduler's delay unchanged."""
         return delay
 
 
 class NoTargetClient:
-    """The target client of an engine that was given none: using it is an error of the caller."""
+    """Placeholder until a target client is set: any use of it is a programming error."""
 
     def start(self, attempt: Attempt) -> None:
         """Raise `RuntimeError`."""
-        raise RuntimeError(f"no target client to start an attempt at {attempt.target_id}")
+        raise RuntimeError(f"cannot start an attempt at target {attempt.target_id}: no target client is set")
 
     def is_fully_sent(self, attempt: Attempt) -> bool:
         """Raise `RuntimeError`."""
-        raise RuntimeError(f"no target client has sent an attempt to {attempt.target_id}")
+        raise RuntimeError(
+            f"no attempt to target {attempt.target_id} can have been sent: no target client is set"
+        )
 
     def abandon(self, attempt: Attempt) -> bool:
         """Raise `RuntimeError`."""
-        raise RuntimeError(f"no target client has an attempt at {attempt.target_id}")
+        raise RuntimeError(
+            f"cannot abandon an attempt at target {attempt.target_id}: no target client is set"
+        )
 
     def close_idle(self, target_id: TargetId) -> None:
         """Raise `RuntimeError`."""
-        raise RuntimeError(f"no target client has connections to {target_id}")
+        raise RuntimeError(f"cannot close connections to target {target_id}: no target client is set")
 
 
 def discard_peer_message(initiator_index: int | None, data: bytes) -> None:
-    """Stand in for a peer network where there is none."""
+    """Discard a peer message; used if there is no peer network."""
 
 
 @dataclass(slots=True)
 class EngineContext:
     """Shared state of one engine; `engine.Engine` owns it.
 
-    `scheduler_epoch` is the zero of the scheduler's clock on the loop's clock, in seconds.
+    `scheduler_epoch` is the loop time at which the scheduler's clock reads zero, in seconds.
     """
 
     loop: asyncio.AbstractEventLoop
     scheduler_epoch: float
     settings: Settings
     log: Logger
-    trace: Logger | None  # writes one line for each step of each request; None: no trace
+    trace: Logger | None  # writes one line per step of a request; None disables tracing
     counts: Counter[str] = field(default_factory=Counter)
     target_client: TargetClient = field(default_factory=NoTargetClient)
     admission_gate: AdmissionGate = field(default_factory=AdmitAll)
     send_peer_message: Callable[[int | None, bytes], None] = discard_peer_message
 
     def report_violation(self, violation: GuardViolation, **details: object) -> None:
-        """Count and log that a guard stepped in."""
+        """Count and log a violation that a guard has stopped."""
         self.counts[COUNT_GUARD_VIOLATIONS] += 1
         self.log("fault", reason=violation.value, **details)
--- a/stalltiller/routing/engine.py
+++ b/stalltiller/routing/engine.py
@@ -1,12 +1,12 @@
-"""The engine: carries each client request to a target and its answer back, as the scheduler decides.
+"""The engine: sends each client request to a target and returns the response, as the scheduler decides.
 
-Events that arrive in one turn of the event loop are gathered in a batch.  At the end of the turn the
-scheduler is called once with the batch, and its actions are carried out.
+Events that arrive in one iteration of the event loop are collected in a batch.  At the end of the iteration
+the scheduler is called once with the batch, and its actions are carried out.
 
 The engine owns the scheduler, its clock, the open requests, the known targets and one heap of timers.  It
-makes no decision of its own, but guarantees what neither an adapter nor the scheduler may break: one final
-answer for each request, one attempt in flight at a time, no attempt at a target whose drain is over, an
-answer before the client's deadline.  `guard.GuardViolation` lists these guards.
+makes no scheduling decisions, but enforces invariants whatever adapters and scheduler do: one final response
+per request, one attempt in flight at a time, no attempt at a target after its drain grace, and a response
+before the client's deadline.  `guard.GuardViolation` lists these invariants.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from collections.abc import Callable, Iterable
 from typing import TypeVar
 
-from stalltiller.routing.action_dispatch import ANSWER_MARGIN_SECONDS, ActionDispatcher
+from stalltiller.routing.action_dispatch import RESPONSE_MARGIN_SECONDS, ActionDispatcher
 from stalltiller.routing.context import COUNT_NOT_ADMITTED, COUNT_RECEIVED, EngineContext, Logger
 from stalltiller.routing.guard import GuardViolation
 from stalltiller.routing.ports import (
@@ -50,17 +50,19 @@
 )
 from stalltiller.scheduling.scheduler import Scheduler
 
-BACKSTOP_MARGIN_SECONDS = 0.008  # the engine itself answers so long before the client's deadline
-MIN_SCHEDULING_SECONDS = 0.002  # however short the client's time, the scheduler sees the request first
-MAX_LAG_SECONDS = 0.25  # the longest time for which a request is assumed to have waited unread
+# The deadline guard fails a request that is still open this long before the client's deadline.
+DEADLINE_GUARD_MARGIN_SECONDS = 0.008
+# The deadline guard waits at least this long after arrival, so that the scheduler sees the request first.
+MIN_SCHEDULING_SECONDS = 0.002
+MAX_LAG_SECONDS = 0.25  # upper bound of the time that a request is assumed to have waited unread
 
 Result = TypeVar("Result")
 
 
 class Engine:
-    """The open requests of one initiator and the scheduler that decides about them.
+    """Holds the open requests of one initiator and the scheduler that decides about them.
 
-    All methods are called on the event loop's thread.  Times of the loop's clock are in seconds.
+    All methods are called on the event loop's thread.  Times on the loop's clock are in seconds.
     """
 
     def __init__(
@@ -72,7 +74,7 @@
         trace: Logger | None = None,
     ) -> None:
         epoch = loop.time()
-        self._unix_time_at_loop_zero = time.time() - epoch  # read once, so that it has no steps
+        self._unix_time_at_loop_zero = time.time() - epoch  # read once: unaffected by clock adjustments
         self._loop = loop
         self._context = EngineContext(loop, epoch, settings, log, trace)
         self._scheduler = Scheduler(settings, seed, 0.0)
@@ -90,14 +92,14 @@
         )
         self._pending_events: list[Event] = []
         self._scheduled_batch: asyncio.Handle | None = None
-        self._is_stopped = False  # whether all was answered for the end of the process
+        self._is_stopped = False  # whether `finish_all` has ended all requests
         self._last_batch_ended_at = epoch
         self._last_batch_duration = 0.0
 
-    # --- State for other parts of the program -----------------------------------------------------
+    # --- State read by other components -----------------------------------------------------------
     @property
     def settings(self) -> Settings:
-        """The settings in force."""
+        """The current settings."""
         return self._context.settings
 
     @property
@@ -107,18 +109,18 @@
 
     @property
     def open_request_count(self) -> int:
-        """Requests that were submitted and are not answered yet."""
+        """The number of submitted requests that are not finished."""
         return self._requests.open_count
 
     @property
     def target_count(self) -> int:
-        """Targets on the list."""
+        """The number of targets on the target list."""
         return len(self._targets)
 
     def inspect_scheduler(self, inspect: Callable[[Scheduler, float, float], Result]) -> Result:
         """Call `inspect` between two batches and return its result.
 
-        It is given the scheduler, the time on the scheduler's clock and the Unix time of that clock's zero.
+        `inspect` gets the scheduler, the scheduler's clock time and the Unix time of that clock's zero.
         """
         epoch = self._context.scheduler_epoch
         return inspect(self._scheduler, self._loop.time() - epoch, self._unix_time_at_loop_zero + epoch)
@@ -132,26 +134,26 @@
     # --- Collaborators ----------------------------------------------------------------------------
     @property
     def target_client(self) -> TargetClient:
-        """Return what sends attempts to targets; it is set before the first target is listed."""
+        """Sends attempts to targets; it must be set before the first target is listed."""
         return self._context.target_client
 
     @target_client.setter
     def target_client(self, target_client: TargetClient) -> None:
-        """Set it; the target clients report to the engine, so they are built after it."""
+        """Set the target client, which is built after the engine because it reports to it."""
         self._context.target_client = target_client
 
     def set_admission_gate(self, admission_gate: AdmissionGate) -> None:
-        """Have a gate decide from now on which requests reach the scheduler."""
+        """Let a gate decide which requests reach the scheduler from now on."""
         self._context.admission_gate = admission_gate
 
     def set_peer_network(self, peer_network: PeerNetwork) -> None:
-        """Share budgets with other initiators from now on."""
+        """Share budgets and exchange messages with other initiators from now on."""
         self._context.send_peer_message = peer_network.send_peer_message
         self._scheduler.budget_fraction = peer_network.budget_fraction
 
     # --- Requests ---------------------------------------------------------------------------------
     def submit(self, client_request: ClientRequest) -> int:
-        """Accept a request and return its id; its response handler is called once, in a later turn."""
+        """Accept a request and return its id; its response handler is called once, in a later iteration."""
         context = self._context
         settings = context.settings
         now = self._loop.time()
@@ -169,27 +171,27 @@
         if self._is_stopped:
             retry_after = settings.max_retry_after or MIN_SCHEDULING_SECONDS
         if retry_after > 0.0:
-            self._loop.call_soon(self._reject_at_gate, request_id, retry_after)
+            self._loop.call_soon(self._reject_unadmitted, request_id, retry_after)
             return request_id
-        backstop_at = max(deadline - BACKSTOP_MARGIN_SECONDS, now + MIN_SCHEDULING_SECONDS)
-        self._timers.call_at(backstop_at, self._answer_at_deadline, request_id)
-        time_remaining = max(0.0, deadline - ANSWER_MARGIN_SECONDS - now)
+        guard_at = max(deadline - DEADLINE_GUARD_MARGIN_SECONDS, now + MIN_SCHEDULING_SECONDS)
+        self._timers.call_at(guard_at, self._fail_at_deadline, request_id)
+        time_remaining = max(0.0, deadline - RESPONSE_MARGIN_SECONDS - now)
         self._enqueue(_scheduler_request(request_id, client_request, time_remaining))
         return request_id
 
     def cancel(self, request_id: int) -> None:
-        """The client of a request has disconnected."""
+        """Finish a request whose client has disconnected."""
         state = self._requests.get_open(request_id)
         if state is not None:
             self._requests.finish(state, RequestOutcome.DISCONNECTED)
             self._enqueue(ClientDisconnected(request_id))
 
     def attempt_finished(self, attempt: Attempt, result: AttemptResult) -> None:
-        """An attempt has ended; its target client calls this once unless it was told to abandon it."""
+        """Record the end of an attempt; its target client calls this once unless it was abandoned."""
         self._requests.finish_attempt(attempt, result)
 
     def finish_all(self) -> None:
-        """Answer all open requests, since the process ends; what is submitted later is rejected at once."""
+        """Respond to all open requests before shutdown; requests submitted later are rejected unscheduled."""
         self._is_stopped = True
         for state in self._requests.snapshot():
             if state.is_finished:
@@ -199,7 +201,7 @@
             may_be_rejected = state.may_be_rejected(in_flight_may_execute=may_execute)
             outcome = RequestOutcome.REJECTED if may_be_rejected else RequestOutcome.FAILED
             self._requests.finish(state, outcome)
-            self._enqueue(ClientDisconnected(state.request_id))  # so that the scheduler starts nothing for it
+            self._enqueue(ClientDisconnected(state.request_id))  # then the scheduler starts no attempt for it
             handler = state.client_request.response_handler
             if may_be_rejected:
                 handler.reject(self.settings.max_retry_after)
@@ -207,7 +209,7 @@
                 handler.fail()
 
     def _estimate_lag(self, now: float) -> float:
-        """How long a request may have stood unread: as long as the batch before this turn took."""
+        """Estimate how long a request has waited unread: the duration of a batch that has just ended."""
         if now - self._last_batch_ended_at < self._last_batch_duration:
             return min(self._last_batch_duration, MAX_LAG_SECONDS)
         return 0.0
@@ -225,8 +227,8 @@
             lag=round(lag, 4),
         )
 
-    def _reject_at_gate(self, request_id: int, retry_after: float) -> None:
-        """Reject a request that the admission gate did not admit: nothing of it has been sent."""
+    def _reject_unadmitted(self, request_id: int, retry_after: float) -> None:
+        """Reject a request that was not admitted; a retry is harmless, since nothing was sent."""
         state = self._requests.get_open(request_id)
         if state is not None:
             self.counts[COUNT_NOT_ADMITTED] += 1
@@ -234,19 +236,19 @@
             retry_after = min(retry_after, self.settings.max_retry_after)
             state.client_request.response_handler.reject(retry_after)
 
-    def _answer_at_deadline(self, request_id: int) -> None:
-        """Fail a request that is still open shortly before its deadline: no answer may come after it."""
+    def _fail_at_deadline(self, request_id: int) -> None:
+        """Fail a request that is still open shortly before its deadline: its client waits no longer."""
         state = self._requests.get_open(request_id)
         if state is None:
             return
         self._context.report_violation(GuardViolation.DEADLINE_REACHED, id=request_id)
         self._requests.finish(state, RequestOutcome.FAILED)
-        self._enqueue(ClientDisconnected(request_id))  # for the scheduler, as if the client had disconnected
+        self._enqueue(ClientDisconnected(request_id))  # the scheduler treats it as a disconnected client
         state.client_request.response_handler.fail()
 
-    # --- Changes of the surroundings --------------------------------------------------------------
+    # --- Updates from outside ---------------------------------------------------------------------
     def update_targets(self, kind: TargetListKind, endpoints: Iterable[TargetEndpoint]) -> None:
-        """Apply an update of the target list; a drain that it announces starts now."""
+        """Apply an update of the target list; the grace of targets newly listed as draining starts now."""
         endpoints = list(endpoints)
         leaving = self._targets.update(kind, endpoints)
         is_replaced = kind is not TargetListKind.DELTA
@@ -255,7 +257,7 @@
         self._enqueue(TargetListUpdate(kind, tuple(endpoint.target for endpoint in endpoints)))
 
     def _limit_late_starts(self, leaving: set[TargetId], is_list_replaced: bool) -> None:
-        """Bound the attempts in flight at targets that leave, or that a new list no longer names."""
+        """Limit the start of attempts in flight at draining or removed targets, or ones not on a new list."""
         drain_grace = self.settings.rules.drain_grace
         for attempt in self._requests.attempts_in_flight():
             is_missing = is_list_replaced and self._targets.get(attempt.target_id) is None
@@ -263,29 +265,29 @@
                 self._targets.limit_start(attempt, drain_grace)
 
     def update_settings(self, settings: Settings) -> None:
-        """Put other settings in force; open requests keep their class."""
+        """Apply new settings; open requests keep their request class."""
         self._context.settings = settings
         self._enqueue(SettingsChanged(settings))
 
     def handle_peer_message(self, sender_index: int, data: bytes) -> None:
-        """A message from the scheduler of another initiator has arrived."""
+        """Pass a message from the scheduler of another initiator to this scheduler."""
         self._enqueue(PeerMessage(sender_index, data))
 
     def activate(self) -> None:
-        """This process serves clients from now on; tokens that were saved up before do not count."""
+        """Mark this process as serving clients; tokens that accrued before do not count."""
         self._scheduler.activate(self._loop.time() - self._context.scheduler_epoch)
 
     def deactivate(self) -> None:
-        """Another process of this initiator serves clients from now on, and has the tokens that accrue."""
+        """Mark another process of this initiator as serving clients and accruing tokens from now on."""
         self._scheduler.deactivate()
 
     # --- Batches and timers -----------------------------------------------------------------------
     def call_at(self, due_at: float, callback: Callable[..., None], *arguments: object) -> None:
-        """Call `callback` at a time of the loop's clock, at the start of a batch."""
+        """Call `callback` in the first batch at or after `due_at` on the loop's clock, before its events."""
         self._timers.call_at(due_at, callback, *arguments)
 
     def _enqueue(self, event: Event) -> None:
-        """Add an event to the batch that is processed after all that is ready in the loop now."""
+        """Add an event to the next batch, which runs after the callbacks that are ready in the loop now."""
         self._pending_events.append(event)
         self._schedule_batch()
 
@@ -308,7 +310,7 @@
         self._last_batch_duration = self._last_batch_ended_at - started_at
 
     def _call_scheduler(self, now: float, events: list[Event]) -> list[Action]:
-        """Call the scheduler; if it raises, requests in flight go on and the guards answer the rest."""
+        """Call the scheduler; if it raises, attempts go on and the deadline guard fails the open requests."""
         try:
             return self._scheduler.handle(now - self._context.scheduler_epoch, events)
         except Exception as error:
--- a/stalltiller/routing/guard.py
+++ b/stalltiller/routing/guard.py
@@ -1,4 +1,4 @@
-"""The rules that the engine enforces whatever the scheduler and the adapters do."""
+"""The invariants that the engine enforces whatever the scheduler and the adapters do."""
 
 from __future__ import annotations
 
@@ -6,15 +6,17 @@
 
 
 class GuardViolation(Enum):
-    """Why a guard stepped in, which is a fault of the program; the values are logged as `reason`."""
+    """An invariant that was about to be broken, which is a bug; the values are logged as `reason`."""
 
-    ATTEMPT_FINISHED_TWICE = "an attempt ended twice"
-    SCHEDULER_RAISED = "the scheduler raised"
-    ANSWERED_TWICE = "a second answer"
-    ATTEMPT_AFTER_FINISH = "an attempt after the end"
-    CONCURRENT_ATTEMPT = "a second attempt at once"
-    UNSAFE_RETRY = "a repeat of what may have run"
-    TOO_MANY_ATTEMPTS = "an attempt over the number allowed"
-    TARGET_UNAVAILABLE = "an attempt at a target that drains, is not listed or may forget the one before"
-    UNSAFE_REJECTION = "a refusal of what may have run"
-    DEADLINE_REACHED = "the deadline backstop answered"
+    ATTEMPT_FINISHED_TWICE = "an attempt was reported as finished twice"
+    SCHEDULER_RAISED = "the scheduler raised an exception"
+    RESPONDED_TWICE = "a second final response to a request"
+    ATTEMPT_AFTER_FINISH = "an attempt for a request that has finished"
+    CONCURRENT_ATTEMPT = "a second attempt while one is in flight"
+    UNSAFE_RETRY = "a retry of an unsafe request that may have been executed"
+    TOO_MANY_ATTEMPTS = "an attempt beyond the maximum number of attempts"
+    TARGET_UNAVAILABLE = (
+        "an attempt at a target that is unlisted, past its drain grace or past the deduplication window"
+    )
+    UNSAFE_REJECTION = "a rejection of a request that may have been executed"
+    DEADLINE_REACHED = "a request was still open shortly before its deadline"
--- a/stalltiller/routing/ports.py
+++ b/stalltiller/routing/ports.py
@@ -1,4 +1,4 @@
-"""The interfaces between the engine and what surrounds it.
+"""The interfaces between the engine and the components around it.
 
 Adapters for clients build a `ClientRequest` and implement `ResponseHandler`; adapters for targets implement
 `TargetClient` and report an `AttemptResult`.  `PeerNetwork` and `AdmissionGate` are optional.  Nothing here
@@ -15,14 +15,13 @@
 
 
 class ResponseHandler(Protocol):
-    """Returns the final answer to a request's client.
+    """Sends the final response to a request's client.
 
-    The engine calls at most one of `complete`, `reject` and `fail`, and that once: none if the client
-    disconnected.
+    The engine calls one of `complete`, `reject` and `fail` once, or none of them if the client disconnected.
     """
 
     def complete(self, answer: Any) -> None:
-        """Pass on the answer of a target, as its target client reported it."""
+        """Forward the response of a target as its target client reported it."""
 
     def reject(self, retry_after: float) -> None:
         """Tell the client that a retry is harmless, best after `retry_after` seconds (0: at any time)."""
@@ -36,13 +35,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientRequest:
-    """A request as its adapter read it from a client.
+    """A client's request as its adapter parsed it.
 
-    `class_index` and `plan_index` count the classes and plans of the engine's settings.  `units` is the work
-    that the request costs, `volume_initiator_count` the number of initiators that serve its volume.
-    `idempotency_key` is 0 without a key, `shard` is None for a new object.  `timeout` is the time that the
-    client has left, in seconds.  `payload` is for the target client and is not read by the engine.
-    `trace_label` is the client's name for the request in the trace.
+    `class_index` and `plan_index` are indices into the classes and plans of the engine's settings.  `units`
+    is the cost of the request, `volume_initiator_count` the number of initiators that serve its volume.
+    `idempotency_key` is 0 without a key, `shard` is None for a new object.  `timeout` is the client's
+    remaining time in seconds.  `payload` is for the target client and opaque to the engine.  `trace_label` is
+    the client's identifier of the request in the trace.
     """
 
     class_index: int
@@ -61,10 +60,10 @@
 
 
 class PeerNetwork(Protocol):
-    """The other initiators of a fleet, as far as the scheduler may use them."""
+    """The connection of a scheduler to the other initiators of its fleet."""
 
     def budget_fraction(self, key: str, need: float) -> float:
-        """The fraction of a shared budget that this initiator may use now.
+        """Return the fraction of a shared budget that this initiator may use now.
 
         `need` is the fraction that it could use.
         """
@@ -77,20 +76,20 @@
     """Decides which requests reach the scheduler while a fleet recovers from a mass restart."""
 
     def admit(self, client_request: ClientRequest) -> float:
-        """0 to admit a request; otherwise it is rejected with this retry delay, in seconds."""
+        """Return 0 to admit a request, otherwise the retry delay of its rejection in seconds."""
 
     def retry_after(self, delay: float) -> float:
-        """The retry delay for a client that the scheduler rejects with `delay`, both in seconds."""
+        """Return the retry delay for a request that the scheduler rejects with `delay`, both in seconds."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try of a request at a target.
+    """One attempt to execute a request at a target.
 
     `number` counts the attempts of the request from 0.  The engine abandons the attempt at `expires_at`.  The
-    target client must not send its first byte at `latest_start` or later; None means that nothing bounds it,
-    and the bound may become earlier while the attempt is in flight.  `channel` is the target client's own;
-    `channel_idle_time` is how long that connection had been idle before, in seconds, None if it is new.
+    target client must not send its first byte at `latest_start` or later; None means no limit, and the limit
+    may become earlier while the attempt is in flight.  `channel` is private to the target client;
+    `channel_idle_time` is how long that connection was idle before, in seconds, None if it is new.
     """
 
     request_id: int
@@ -111,9 +110,9 @@
 class AttemptResult:
     """How an attempt ended.
 
-    `answer` is for the client and is only used if the status is OK.  The rest is what the target reported, if
-    anything: `other_units`, the work that the volume had done through other initiators, and `report`, the
-    figures of the target's load.
+    `answer` is the response for the client, used only if the status is OK.  The target may have reported the
+    rest: `other_units`, the units served for the volume through other initiators, and `report`, its load
+    figures.
     """
 
     status: AttemptStatus
@@ -125,17 +124,17 @@
 class TargetClient(Protocol):
     """Sends attempts to targets.
 
-    It reports the end of each attempt once by `Engine.attempt_finished`, unless the attempt was abandoned.
+    It reports the end of each attempt once to `Engine.attempt_finished`, unless the attempt was abandoned.
     """
 
     def start(self, attempt: Attempt) -> None:
         """Start an attempt; its end is reported later, never from within this call."""
 
     def is_fully_sent(self, attempt: Attempt) -> bool:
-        """Whether the target may have received all of an attempt, so that it may execute it."""
+        """Whether the target may have received the whole request of an attempt, and so may execute it."""
 
     def abandon(self, attempt: Attempt) -> bool:
-        """Give an attempt up without a report; return whether the target may execute it."""
+        """Abort an attempt without reporting it; return whether the target may execute it."""
 
     def close_idle(self, target_id: TargetId) -> None:
         """Close the idle connections to a target."""
--- a/stalltiller/routing/request_state.py
+++ b/stalltiller/routing/request_state.py
@@ -1,4 +1,4 @@
-"""What the engine knows about one request."""
+"""The state that the engine keeps for one request."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RequestOutcome(StrEnum):
-    """How a request ended; the values are names of exported counters."""
+    """How a request ended; the values are the names of exported counters."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -22,10 +22,10 @@
 
 
 class RequestState:
-    """A request from its arrival until it is finished and no attempt of it is in flight.
+    """A request from its arrival until it is finished and has no attempt in flight.
 
-    `deadline` is the client's deadline on the loop's clock.  `request_class` and `max_attempts` are those
-    of the settings at its arrival, which later settings do not change.
+    `deadline` is the client's deadline on the loop's clock.  `request_class` and `max_attempts` come from the
+    settings at its arrival; later settings do not change them.
     """
 
     __slots__ = (
@@ -56,20 +56,20 @@
         self.max_attempts = max_attempts
         self.attempt_count = 0
         self.in_flight: Attempt | None = None
-        self.possibly_executed = False  # whether an attempt that ended may have been executed
-        self.first_executed_at = 0.0  # when the first such attempt was sent, on the loop's clock
+        self.possibly_executed = False  # whether a target may have executed a finished attempt
+        self.first_executed_at = 0.0  # loop time at which the first such attempt was sent
         self.is_finished = False
 
     def may_be_rejected(self, in_flight_may_execute: bool) -> bool:
-        """Whether the client may be told that a retry is harmless.
+        """Whether the request may be rejected, which tells its client that a retry is harmless.
 
-        `in_flight_may_execute`: whether an attempt is in flight that its target may execute.
+        `in_flight_may_execute`: whether a target may execute an attempt that is in flight.
         """
         return self._is_retry_harmless() or not (self.possibly_executed or in_flight_may_execute)
 
     def _is_retry_harmless(self) -> bool:
         """Whether a retry does no harm even if this request is executed as well."""
         idempotency = self.request_class.idempotency
-        if idempotency is Idempotency.IDEMPOTENCY_KEY:  # harmless where every target recognises the retry
+        if idempotency is Idempotency.IDEMPOTENCY_KEY:  # harmless only if every target deduplicates retries
             return self.request_class.deduplication_scope is DeduplicationScope.ALL
         return idempotency is Idempotency.SAFE
--- a/stalltiller/routing/request_table.py
+++ b/stalltiller/routing/request_table.py
@@ -1,6 +1,6 @@
-"""The open requests of an engine and the attempts that are in flight for them.
+"""The open requests of an engine and their attempts in flight.
 
-It guarantees that a request ends once, and that an attempt is reported to the scheduler once.
+The table guarantees that a request finishes once, and that an attempt is reported to the scheduler once.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from stalltiller.routing.request_state import NEVER_EXECUTED, RequestOutcome, RequestState
 from stalltiller.scheduling import AttemptFinished, AttemptStatus, Event
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 class RequestTable:
-    """Requests by id, each until it is finished and no attempt of it is in flight."""
+    """Requests by id; each stays until it is finished and has no attempt in flight."""
 
     def __init__(self, context: EngineContext, enqueue: Callable[[Event], None]) -> None:
         self._context = context
@@ -29,31 +29,31 @@
         return len(self._states)
 
     def add(self, state: RequestState) -> None:
-        """Enter a new request."""
+        """Add a new request."""
         self._states[state.request_id] = state
         self.open_count += 1
 
     def get(self, request_id: int) -> RequestState | None:
-        """The request; None if it is no longer in the table."""
+        """Return the request; None if it is no longer in the table."""
         return self._states.get(request_id)
 
     def get_open(self, request_id: int) -> RequestState | None:
-        """The request; None if it is finished."""
+        """Return the request; None if it is finished."""
         state = self._states.get(request_id)
         return None if state is None or state.is_finished else state
 
     def snapshot(self) -> list[RequestState]:
-        """The requests in the table, oldest first, finished ones with an attempt in flight among them."""
+        """Return the requests, oldest first, including finished ones with an attempt in flight."""
         return list(self._states.values())
 
     def attempts_in_flight(self) -> Iterator[Attempt]:
-        """The attempts in flight; the table must not change meanwhile."""
+        """Iterate over the attempts in flight; the table must not change during the iteration."""
         for state in self._states.values():
             if state.in_flight is not None:
                 yield state.in_flight
 
     def finish(self, state: RequestState, outcome: RequestOutcome) -> None:
-        """Record how an open request ended; its client is answered by the caller."""
+        """Record how an open request ended; the caller responds to its client."""
         state.is_finished = True
         self.open_count -= 1
         self._context.counts[outcome.value] += 1
@@ -64,14 +64,14 @@
                 id=state.request_id,
                 outcome=outcome.value,
                 attempts=state.attempt_count,
-                remaining_ms=round(MILLISECONDS * remaining_seconds, 1),
+                remaining_ms=round(MILLISECONDS_PER_SECOND * remaining_seconds, 1),
             )
-        if state.in_flight is not None:  # the client waits no longer: what has not started must not start
-            self.withdraw(state.in_flight)
-        self._discard_if_over(state)
+        if state.in_flight is not None:  # no client waits for it: it must not start any more
+            self.cancel_if_unsent(state.in_flight)
+        self._remove_if_complete(state)
 
     def finish_attempt(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Record how an attempt ended, serve its client if it succeeded, and report it to the scheduler."""
+        """Record how an attempt ended, respond to its client if it succeeded, and inform the scheduler."""
         state = self._states.get(attempt.request_id)
         if state is None or state.in_flight is not attempt:
             self._context.report_violation(
@@ -103,23 +103,23 @@
             )
         )
         if request_done:
-            self._discard_if_over(state)
+            self._remove_if_complete(state)
 
     def expire(self, attempt: Attempt) -> None:
-        """Give an attempt up whose time is over, if it is still in flight."""
+        """Abandon an attempt at its expiry time if it is still in flight."""
         if self._is_in_flight(attempt):
             self.abandon(attempt, AttemptStatus.TIMEOUT)
 
-    def withdraw(self, attempt: Attempt) -> None:
-        """Give an attempt up unless its target has all of it: it must not start any more."""
+    def cancel_if_unsent(self, attempt: Attempt) -> None:
+        """Cancel an attempt that must not start any more, unless its target may have received all of it."""
         if self._is_in_flight(attempt) and not self._context.target_client.is_fully_sent(attempt):
             self.abandon(attempt, AttemptStatus.CANCELLED)
 
     def abandon(self, attempt: Attempt, status: AttemptStatus) -> None:
-        """Give an attempt up that is in flight.
+        """Abandon an attempt that is in flight.
 
-        One that was not fully sent was never executed, which the scheduler learns as a failed connection.
-        If the request was finished before, that says nothing about the target, so `status` is kept.
+        An attempt that was not fully sent was never executed and is reported as a failed connection.  If its
+        request had finished before, this says nothing about the target, so `status` is kept.
         """
         request_done = self._states[attempt.request_id].is_finished
         possibly_executed = self._context.target_client.abandon(attempt)
@@ -138,9 +138,9 @@
             attempt=attempt.number,
             target=attempt.target_id,
             status=status.value,
-            ms=round(MILLISECONDS * (self._context.loop.time() - attempt.sent_at), 1),
+            ms=round(MILLISECONDS_PER_SECOND * (self._context.loop.time() - attempt.sent_at), 1),
         )
 
-    def _discard_if_over(self, state: RequestState) -> None:
+    def _remove_if_complete(self, state: RequestState) -> None:
         if state.is_finished and state.in_flight is None:
             self._states.pop(state.request_id, None)
--- a/stalltiller/routing/slow_start_state.py
+++ b/stalltiller/routing/slow_start_state.py
@@ -1,4 +1,4 @@
-"""What a scheduler holds of a target that warms up, for traces; nothing here decides."""
+"""The scheduler's slow-start state of a target, for traces; it is not used for decisions."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartState:
-    """One initiator's view of a warming target at one moment; times in seconds, work in units.
+    """One initiator's view of a target that is warming up; times in seconds, work in units.
 
-    target_age: since the start of the target as the target list tells it.
-    process_age: since this process began to count requests.
-    share: this initiator's part of what the target bears in a window.
-    other_initiators: how many others this process takes to request the target's shard in a window.
+    target_age: time since the start of the target according to the target list.
+    process_age: time since this process began to count requests.
+    share: this initiator's fraction of the target's slow-start budget in a window.
+    other_initiators: estimated number of others that send requests to the target's shard in a window.
     overload_backoff: factor on the share, below 1 after signs of overload.
     window_units: units counted against the share in the current window.
     """
@@ -29,7 +29,7 @@
 
 
 def slow_start_state(scheduler: Scheduler, target_id: TargetId) -> SlowStartState | None:
-    """Return what the scheduler holds of a target that it knows to warm up; None for any other."""
+    """Return the slow-start state of a target that is warming up; None for any other target."""
     target = scheduler.targets.get(target_id)
     if target is None or target.target.started_at is None:
         return None
--- a/stalltiller/routing/target_table.py
+++ b/stalltiller/routing/target_table.py
@@ -1,4 +1,4 @@
-"""The targets on the current list, and until when a draining target may be sent new attempts."""
+"""The targets on the current target list, and until when attempts may start at a draining target."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 from stalltiller.routing.ports import Attempt, TargetEndpoint
 from stalltiller.scheduling import TargetId, TargetListKind, TargetStatus
 
-DRAIN_MARGIN_SECONDS = 0.1  # nothing starts so shortly before a drain's grace ends: it could arrive after it
+# No attempt starts within this margin before a drain grace ends: it could reach the target after the grace.
+DRAIN_MARGIN_SECONDS = 0.1
 
 
 class TargetTable:
     """Targets by id with their addresses.
 
-    The drain of a target starts when this table first hears of it.  All times are on the clock that is
-    passed in, in seconds.
+    The drain grace of a target starts when an update first lists it as draining.  All times are on the clock
+    that is passed in, in seconds.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -26,13 +27,13 @@
         return len(self._endpoints)
 
     def get(self, target_id: TargetId) -> TargetEndpoint | None:
-        """The address of a target; None if it is not on the list."""
+        """Return the address of a target; None if it is not on the list."""
         return self._endpoints.get(target_id)
 
     def update(self, kind: TargetListKind, endpoints: Sequence[TargetEndpoint]) -> set[TargetId]:
         """Apply an update of the target list, which replaces the list unless it is a delta.
 
-        Returns the targets that the update gives as draining or removed.
+        Returns the targets that the update lists as draining or removed.
         """
         if kind is not TargetListKind.DELTA:
             current_ids = {endpoint.target.target_id for endpoint in endpoints}
@@ -51,15 +52,15 @@
         }
 
     def latest_start(self, target_id: TargetId, drain_grace: float) -> float | None:
-        """The time from which nothing may start at a target; None if it does not drain."""
+        """Return the time from which no attempt may start at a target; None if it is not draining."""
         notified_at = self._drain_notified_at.get(target_id)
         return None if notified_at is None else notified_at + drain_grace - DRAIN_MARGIN_SECONDS
 
     def limit_start(self, attempt: Attempt, drain_grace: float) -> None:
-        """Bound an attempt in flight at a target that leaves.
+        """Limit the start of an attempt in flight at a target that drains or is no longer listed.
 
-        Without it the first byte of an attempt whose connection comes up late could reach its target after
-        the grace.  The grace of a target that was removed without a drain starts now.
+        Without the limit, the first byte of an attempt whose connection is established late could reach its
+        target after the grace.  The grace of a target that was removed without a drain starts now.
         """
         notified_at = self._drain_notified_at.get(attempt.target_id, self._clock())
         latest_start = notified_at + drain_grace - DRAIN_MARGIN_SECONDS
--- a/stalltiller/routing/timers.py
+++ b/stalltiller/routing/timers.py
@@ -1,7 +1,7 @@
 """A heap of timers that shares one timer of the event loop.
 
-The queue's owner runs the due timers itself, at the start of its own batch: the queue only asks for a batch
-when the first timer is due.
+The queue calls `on_due` when the first timer is due; its owner then runs the due timers at the start of a
+batch.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class _Timer(NamedTuple):
-    """A pending call; timers that are due at the same time run in the order in which they were set."""
+    """A pending call; timers with the same due time run in the order in which they were set."""
 
     due_at: float
     sequence: int  # unique, so that a comparison never reaches the callback
@@ -33,13 +33,13 @@
         self._wakeup: asyncio.TimerHandle | None = None
 
     def call_at(self, due_at: float, callback: Callable[..., None], *arguments: object) -> None:
-        """Have `run_due` call `callback` at that time or later."""
+        """Have `run_due` call `callback` at `due_at` or later."""
         heapq.heappush(self._heap, _Timer(due_at, next(self._sequence), callback, arguments))
         if self._heap[0].due_at == due_at:
             self.arm()
 
     def run_due(self, now: float) -> None:
-        """Run every timer that is due at `now`, also those that the timers set meanwhile."""
+        """Run every timer that is due at `now`, including those set by other timers meanwhile."""
         while self._heap and self._heap[0].due_at <= now:
             timer = heapq.heappop(self._heap)
             timer.callback(*timer.arguments)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builders and a small driver shared by the tests.  The figures belong to no deployment."""
+"""Builders and a scheduler harness shared by the tests.  The default values describe no deployment."""
 
 from __future__ import annotations
 
@@ -92,14 +92,14 @@
 
 
 class SchedulerHarness:
-    """A scheduler with a list of ready targets, and short ways to feed it."""
+    """A scheduler with a list of ready targets, and shortcuts to pass events to it."""
 
     def __init__(self, targets: tuple[Target, ...] = (entry(1),), **changes: object) -> None:
         self.scheduler = Scheduler(settings(**changes), 7, 0.0)
         self.feed(0.0, TargetListUpdate(TargetListKind.CACHED, targets))
 
     def feed(self, now: float, *events: Event) -> list[Action]:
-        """All actions but the timers."""
+        """Handle events and return the actions except timers."""
         actions = self.scheduler.handle(now, list(events))
         return [action for action in actions if not isinstance(action, SetTimer)]
 
@@ -108,5 +108,5 @@
         return self.feed(now, TimerFired(1))
 
     def sends(self, now: float, *events: Event) -> list[int]:
-        """The requests of which an attempt starts."""
+        """Handle events and return the ids of the requests that an attempt starts for."""
         return [a.request_id for a in self.feed(now, *events) if isinstance(a, StartAttempt)]
--- a/tests/simulated_clock.py
+++ b/tests/simulated_clock.py
@@ -1,8 +1,7 @@
-"""An event loop on real sockets with a simulated clock: while it waits for timers alone, time passes at once.
+"""An event loop on real sockets with a simulated clock, which jumps to the next timer if no socket is ready.
 
-Events come in the order of a loop which has nothing else to do, so that a test of seconds takes milliseconds
-and its result does not depend on the machine's load.  Only for scenes in which all peers run on the loop
-itself.
+Events have the same order as on an otherwise idle loop, so a test of several seconds takes milliseconds and
+does not depend on the machine's load.  Only for scenarios in which all peers run on the loop itself.
 """
 
 from __future__ import annotations
@@ -12,11 +11,11 @@
 from collections.abc import Coroutine
 from typing import Any
 
-LOOPBACK_DELAY_SECONDS = 0.01  # of real time: what was written on loopback has arrived by then
+LOOPBACK_DELAY_SECONDS = 0.01  # real time in which data written to loopback arrives
 
 
 class SimulatedClockSelector(selectors.DefaultSelector):
-    """Waits for sockets; the time of its time-outs passes at once."""
+    """Waits for sockets; if none becomes ready, advances the simulated clock by the timeout."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -33,7 +32,7 @@
 
 
 class SimulatedClockLoop(asyncio.SelectorEventLoop):
-    """A loop whose time stands still while anything happens on a socket."""
+    """An event loop whose clock stands still while any socket has events."""
 
     def __init__(self) -> None:
         self._simulated_selector = SimulatedClockSelector()
@@ -43,7 +42,7 @@
         return self._simulated_selector.now
 
 
-def run_on_simulated_clock(scene: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine on a loop of its own and return its result."""
+def run_on_simulated_clock(scenario: Coroutine[Any, Any, Any]) -> Any:
+    """Run a coroutine on a new loop with a simulated clock and return its result."""
     with asyncio.Runner(loop_factory=SimulatedClockLoop) as runner:
-        return runner.run(scene)
+        return runner.run(scenario)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine's guards, with a target client and a scheduler that are made to misbehave; no sockets."""
+"""Unit tests of the engine's guards with a fake target client and a scripted scheduler, without sockets."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 class RecordingResponseHandler:
     def __init__(self):
-        self.answers = []
+        self.responses = []
 
-    def complete(self, answer):
-        self.answers.append(("served", answer))
+    def complete(self, response):
+        self.responses.append(("served", response))
 
     def reject(self, retry_after):
-        self.answers.append(("refused", retry_after))
+        self.responses.append(("refused", retry_after))
 
     def fail(self):
-        self.answers.append(("failed",))
+        self.responses.append(("failed",))
 
     def is_disconnected(self):
         return False
@@ -59,23 +59,23 @@
 
 
 class ScriptedScheduler:
-    """Stands in for the scheduler: a function gives the actions for each event."""
+    """Replaces the scheduler; `actions_for` returns the actions for an event."""
 
-    def __init__(self, act):
-        self.act = act
+    def __init__(self, actions_for):
+        self.actions_for = actions_for
         self.events = []
         self.batch_count = 0
 
     def handle(self, now, events):
         self.batch_count += 1
         self.events += events
-        return [action for event in events for action in self.act(event)]
+        return [action for event in events for action in self.actions_for(event)]
 
 
-def play(scene, act=None, served_class=None, trace=None):
+def run_scenario(scenario, actions_for=None, served_class=None, trace=None):
     served_class = served_class or request_class(idempotency=Idempotency.UNSAFE)
 
-    async def whole():
+    async def run():
         engine = Engine(
             settings(classes=(served_class,), rules=rules(drain_grace=0.3)),
             1,
@@ -84,12 +84,12 @@
             trace,
         )
         engine.target_client = RecordingTargetClient()
-        if act is not None:
-            engine._scheduler = ScriptedScheduler(act)
+        if actions_for is not None:
+            engine._scheduler = ScriptedScheduler(actions_for)
         engine.update_targets(TargetListKind.FULL, [TargetEndpoint(entry(1), "h", 1)])
-        await scene(engine, engine.target_client)
+        await scenario(engine, engine.target_client)
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
 def client_request(handler, timeout=1.0, trace_label=""):
@@ -131,33 +131,35 @@
 
 
 @pytest.mark.parametrize(
-    ("actions", "answers", "started"),
+    ("actions", "responses", "started_count"),
     [
         ((Fail(1), Reject(1, 0.0)), [("failed",)], 0),
         (
             (Reject(1, 99.0), Fail(1)),
             [("refused", 1.5)],
             0,
-        ),  # retry_after within the settings' maximum
+        ),  # retry_after is limited to the settings' maximum
         ((Fail(1), START), [("failed",)], 0),
-        ((START, START), [], 1),  # a second attempt at once
-        ((START, Reject(1, 0.0)), [("failed",)], 1),  # the attempt may be running
-        ((StartAttempt(1, 9, None),), [], 0),  # a target that was never listed
+        ((START, START), [], 1),  # a second attempt while one is in flight
+        ((START, Reject(1, 0.0)), [("failed",)], 1),  # the target may be executing the attempt
+        ((StartAttempt(1, 9, None),), [], 0),  # an unlisted target
     ],
 )
-def test_an_action_that_breaks_a_rule_is_reported_and_not_carried_out(actions, answers, started):
-    async def scene(engine, target_client):
+def test_an_action_that_breaks_an_invariant_is_reported_and_not_carried_out(
+    actions, responses, started_count
+):
+    async def scenario(engine, target_client):
         handler = RecordingResponseHandler()
         engine.submit(client_request(handler))
         await run_batches()
-        assert handler.answers == answers and len(target_client.started) == started
-        assert engine.counts["faults"] == (0 if len(actions) == 1 and answers else 1)
+        assert handler.responses == responses and len(target_client.started) == started_count
+        assert engine.counts["faults"] == (0 if len(actions) == 1 and responses else 1)
 
-    play(scene, on_request(*actions))
+    run_scenario(scenario, on_request(*actions))
 
 
 def test_an_unsafe_request_that_was_possibly_executed_is_never_retried():
-    async def scene(engine, target_client):
+    async def scenario(engine, target_client):
         engine.submit(client_request(RecordingResponseHandler()))
         await run_batches()
         engine.attempt_finished(target_client.started[0], AttemptResult(AttemptStatus.RESET))
@@ -165,26 +167,29 @@
         assert len(target_client.started) == 1 and engine.counts["faults"] == 1
         assert engine._scheduler.events[-1].status is AttemptStatus.NOT_STARTED
 
-    play(scene, retry_after_status(AttemptStatus.RESET))
+    run_scenario(scenario, retry_after_status(AttemptStatus.RESET))
 
 
 @pytest.mark.parametrize(
-    ("scope", "end"), [(DeduplicationScope.ALL, "refused"), (DeduplicationScope.SHARD, "failed")]
+    ("scope", "expected_response"),
+    [(DeduplicationScope.ALL, "refused"), (DeduplicationScope.SHARD, "failed")],
 )
-def test_a_possibly_executed_request_with_a_key_is_rejected_only_if_every_target_deduplicates(scope, end):
-    """It used to be failed, and reported as a guard violation, also where the settings allow a rejection."""
+def test_a_possibly_executed_request_with_a_key_is_rejected_only_if_every_target_deduplicates(
+    scope, expected_response
+):
+    """Guards against failing it, with a guard violation, where the settings allow a rejection."""
 
-    async def scene(engine, target_client):
+    async def scenario(engine, target_client):
         handler = RecordingResponseHandler()
         engine.submit(client_request(handler))
         await asyncio.sleep(0.01)
         engine.attempt_finished(target_client.started[0], AttemptResult(AttemptStatus.RESET))
         await asyncio.sleep(0.01)
-        assert handler.answers[0][0] == end
-        assert engine.counts["faults"] == (end == "failed")
+        assert handler.responses[0][0] == expected_response
+        assert engine.counts["faults"] == (expected_response == "failed")
 
-    play(
-        scene,
+    run_scenario(
+        scenario,
         lambda event: (START,)
         if isinstance(event, Request)
         else (Reject(1, 0.0),)
@@ -195,7 +200,7 @@
 
 
 def test_no_attempt_starts_at_a_target_after_its_drain_grace():
-    async def scene(engine, target_client):
+    async def scenario(engine, target_client):
         engine.update_targets(
             TargetListKind.DELTA, [TargetEndpoint(entry(1, status=TargetStatus.DRAINING), "h", 1)]
         )
@@ -208,56 +213,56 @@
         await run_batches()
         assert len(target_client.started) == 1 and engine.counts["faults"] == 1
 
-    play(scene, retry_after_status(AttemptStatus.REJECTED))
+    run_scenario(scenario, retry_after_status(AttemptStatus.REJECTED))
 
 
-def test_finish_all_ends_requests_for_the_scheduler_too():
-    """Found on roll+mass: after all was answered the scheduler started an attempt, and a guard stepped in."""
+def test_finish_all_also_ends_requests_in_the_scheduler():
+    """The scheduler started an attempt after all requests had finished, which violated a guard."""
 
-    async def scene(engine, target_client):
+    async def scenario(engine, target_client):
         handler = RecordingResponseHandler()
         number = engine.submit(client_request(handler))
         await run_batches()
         engine.finish_all()
         await run_batches()
-        assert handler.answers == [("refused", 1.5)] and engine.counts["faults"] == 0
+        assert handler.responses == [("refused", 1.5)] and engine.counts["faults"] == 0
         assert ClientDisconnected(number) in engine._scheduler.events
 
-    play(scene, lambda event: ())
+    run_scenario(scenario, lambda event: ())
 
 
-def test_the_engine_fails_an_unanswered_request_before_its_deadline():
-    async def scene(engine, target_client):
+def test_the_engine_fails_an_open_request_before_its_deadline():
+    async def scenario(engine, target_client):
         handler = RecordingResponseHandler()
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         engine.submit(client_request(handler, 0.1))
         await run_batches()
         target_client.may_execute = True
-        while not handler.answers:
+        while not handler.responses:
             await asyncio.sleep(0.001)
-        assert asyncio.get_running_loop().time() - began < 0.1
-        assert handler.answers == [("failed",)] and engine.open_request_count == 0
+        assert asyncio.get_running_loop().time() - started_at < 0.1
+        assert handler.responses == [("failed",)] and engine.open_request_count == 0
         assert any(isinstance(event, ClientDisconnected) for event in engine._scheduler.events)
 
-    play(scene, lambda event: ())
+    run_scenario(scenario, lambda event: ())
 
 
-def test_a_request_with_hardly_any_time_left_is_rejected_by_the_scheduler():
-    """The deadline guard was due in the turn in which the request arrived, and reported a violation."""
+def test_a_request_that_arrives_just_before_its_deadline_is_rejected_by_the_scheduler():
+    """The deadline guard was due in the loop iteration of the request's arrival and reported a violation."""
 
-    async def scene(engine, target_client):
+    async def scenario(engine, target_client):
         handler = RecordingResponseHandler()
         engine.submit(client_request(handler, 0.001))
         await run_batches()
-        assert handler.answers == [("refused", 1.5)] and engine.counts["faults"] == 0
+        assert handler.responses == [("refused", 1.5)] and engine.counts["faults"] == 0
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_an_attempt_that_expires_before_it_was_sent_was_never_executed():
-    """A connection that was not established in the attempt's time proves that nothing was sent."""
+def test_an_attempt_that_expires_before_it_is_sent_is_reported_as_never_executed():
+    """If the connection was not established before the attempt expired, nothing was sent."""
 
-    async def scene(engine, target_client):
+    async def scenario(engine, target_client):
         target_client.may_execute = False
         handler = RecordingResponseHandler()
         engine.submit(client_request(handler))
@@ -266,38 +271,38 @@
         assert engine._scheduler.events[-1].status is AttemptStatus.CONNECT_FAILED
         assert target_client.abandoned == target_client.started
 
-    play(scene, on_request(StartAttempt(1, 1, 0.05)))
+    run_scenario(scenario, on_request(StartAttempt(1, 1, 0.05)))
 
 
-def test_the_events_of_one_loop_turn_reach_the_scheduler_in_one_call():
-    async def scene(engine, target_client):
+def test_the_events_of_one_loop_iteration_reach_the_scheduler_in_one_call():
+    async def scenario(engine, target_client):
         await run_batches()
-        before = engine._scheduler.batch_count
+        batches_before = engine._scheduler.batch_count
         for _ in range(5):
             engine.submit(client_request(RecordingResponseHandler()))
         await run_batches()
-        assert engine._scheduler.batch_count == before + 1
+        assert engine._scheduler.batch_count == batches_before + 1
         assert [event.request_id for event in engine._scheduler.events[-5:]] == [1, 2, 3, 4, 5]
 
-    play(scene, lambda event: ())
+    run_scenario(scenario, lambda event: ())
 
 
-def test_an_exception_in_the_scheduler_is_reported_and_every_request_still_answered():
-    async def scene(engine, target_client):
+def test_an_exception_in_the_scheduler_is_reported_and_every_request_still_gets_a_response():
+    async def scenario(engine, target_client):
         handler = RecordingResponseHandler()
         engine.submit(client_request(handler, 0.05))
-        while not handler.answers:
+        while not handler.responses:
             await asyncio.sleep(0.005)
-        assert handler.answers == [("failed",)] and engine.counts["faults"] >= 1
+        assert handler.responses == [("failed",)] and engine.counts["faults"] >= 1
 
-    def act(event):
+    def raise_error(event):
         raise ValueError("broken")
 
-    play(scene, act)
+    run_scenario(scenario, raise_error)
 
 
 def test_the_request_table_is_empty_once_all_attempts_have_ended():
-    async def scene(engine, target_client):
+    async def scenario(engine, target_client):
         handler = RecordingResponseHandler()
         number = engine.submit(client_request(handler))
         await run_batches()
@@ -306,41 +311,43 @@
         assert engine.open_request_count == 0 and len(engine._requests) == 1  # the attempt is still in flight
         engine.attempt_finished(target_client.started[0], AttemptResult(AttemptStatus.OK, "late"))
         await run_batches()
-        assert handler.answers == [] and len(engine._requests) == 0 and engine._scheduler.pending == {}
+        assert handler.responses == [] and len(engine._requests) == 0 and engine._scheduler.pending == {}
 
-    play(scene)
+    run_scenario(scenario)
 
 
-# --- The scheduler: found by the rule tests on sockets --------------------------------------------
-@pytest.mark.parametrize("times", [1, 2, 3, 4])
-def test_an_unsafe_write_that_was_never_executed_is_rejected_after_any_number_of_attempts(times):
-    """It was failed from the second rejection on, although its client could safely have retried."""
-    gateway = SchedulerHarness(classes=(request_class(idempotency=Idempotency.UNSAFE),), max_attempts=times)
-    gateway.feed(0.0, request(1))
+# --- The scheduler without an engine --------------------------------------------------------------
+@pytest.mark.parametrize("attempt_count", [1, 2, 3, 4])
+def test_an_unsafe_write_that_was_never_executed_is_rejected_after_any_number_of_attempts(attempt_count):
+    """It was failed after the second rejection by a target, although its client could safely retry."""
+    harness = SchedulerHarness(
+        classes=(request_class(idempotency=Idempotency.UNSAFE),), max_attempts=attempt_count
+    )
+    harness.feed(0.0, request(1))
     actions = []
-    for attempt in range(times):
-        actions = gateway.feed(
+    for attempt in range(attempt_count):
+        actions = harness.feed(
             0.2 * attempt + 0.1, outcome(1, status=AttemptStatus.REJECTED, attempt_number=attempt)
         )
-        actions += gateway.poll(0.2 * attempt + 0.25)
+        actions += harness.poll(0.2 * attempt + 0.25)
     assert [type(action) for action in actions] == [Reject]
 
 
 def fail_after_attempt(event):
-    """Start one attempt for a request, and fail the request when the attempt has ended."""
+    """Start one attempt for a request, and fail the request after the attempt."""
     if isinstance(event, Request):
         return (START,)
     return (Fail(1),) if isinstance(event, AttemptFinished) else ()
 
 
 @pytest.mark.parametrize(
-    ("status", "act", "steps"),
+    ("status", "actions_for", "steps"),
     [
         (
             AttemptStatus.OK,
             on_request(START),
             ["request_received", "attempt_started", "request_finished", "attempt_finished"],
-        ),  # answered at once
+        ),  # the response ends the request before the attempt
         (
             AttemptStatus.ERROR,
             fail_after_attempt,
@@ -348,21 +355,21 @@
         ),
     ],
 )
-def test_the_trace_contains_each_step_of_a_request_with_its_label(status, act, steps):
+def test_the_trace_contains_each_step_of_a_request_with_its_label(status, actions_for, steps):
     lines = []
 
-    async def scene(engine, target_client):
+    async def scenario(engine, target_client):
         engine.submit(client_request(RecordingResponseHandler(), trace_label="9b1f03aa"))
         await run_batches()
         engine.attempt_finished(target_client.started[0], AttemptResult(status, "answer"))
         await run_batches()
 
-    play(scene, act, trace=lambda event, **details: lines.append((event, details)))
+    run_scenario(scenario, actions_for, trace=lambda event, **details: lines.append((event, details)))
     assert [event for event, _ in lines] == steps and lines[0][1]["label"] == "9b1f03aa"
 
 
 class ClosedAdmissionGate:
-    """An admission gate that admits nothing and halves the delays of other rejections."""
+    """An admission gate that admits nothing and halves the delays of the scheduler's rejections."""
 
     def admit(self, client_request):
         return 0.2
@@ -372,32 +379,32 @@
 
 
 @pytest.mark.parametrize("disconnects", [False, True])
-def test_a_request_that_is_not_admitted_is_rejected_once_in_a_later_turn_and_never_sent(disconnects):
-    async def scene(engine, target_client):
+def test_a_request_that_is_not_admitted_is_rejected_once_in_a_later_iteration_and_never_sent(disconnects):
+    async def scenario(engine, target_client):
         engine.set_admission_gate(ClosedAdmissionGate())
         handler = RecordingResponseHandler()
         number = engine.submit(client_request(handler))
-        assert handler.answers == [] and engine.open_request_count == 1
+        assert handler.responses == [] and engine.open_request_count == 1
         if disconnects:
             engine.cancel(number)
         await asyncio.sleep(0.05)
-        assert handler.answers == ([] if disconnects else [("refused", 0.2)])
+        assert handler.responses == ([] if disconnects else [("refused", 0.2)])
         assert (engine.open_request_count, engine.counts["turned_back"], target_client.started) == (
             0,
             int(not disconnects),
             [],
         )
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_the_admission_gate_adapts_the_retry_after_of_the_scheduler():
-    async def scene(engine, target_client):
+    async def scenario(engine, target_client):
         handler = RecordingResponseHandler()
         engine.set_admission_gate(ClosedAdmissionGate())
         engine._context.admission_gate.admit = lambda client_request: 0.0
         engine.submit(client_request(handler))
         await asyncio.sleep(0.05)
-        assert handler.answers == [("refused", 0.1)]
+        assert handler.responses == [("refused", 0.1)]
 
-    play(scene, on_request(Reject(1, 0.2)))
+    run_scenario(scenario, on_request(Reject(1, 0.2)))
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,9 +1,9 @@
 """Races around disconnects, closes and the shutdown, forced on real connections (docs/races.md).
 
-Each test failed before the race was fixed.
+Each test failed before its race was fixed.
 
-Blocking sockets make the order certain: what they do between two turns of the
-event loop is complete in the kernel before the initiator sees any of it.
+Blocking sockets make the order deterministic: an operation between two iterations of the event loop is
+complete in the kernel before the initiator sees any of it.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
     )
 
 
-def play(scene, kind="http", run=asyncio.run, **changes):
-    async def whole():
+def run_scenario(scenario, kind="http", run=asyncio.run, **changes):
+    async def run_in_world():
         async with World(kind, **changes) as world:
-            await asyncio.wait_for(scene(world), 20)
+            await asyncio.wait_for(scenario(world), 20)
             assert world.faults() == []
 
-    run(whole())
+    run(run_in_world())
 
 
 def connect_client(world) -> socket.socket:
@@ -53,7 +53,7 @@
 
 
 async def read_to_end(sock: socket.socket) -> bytes:
-    """All bytes up to the end of the connection; a reset raises."""
+    """Return all bytes up to the end of the connection; a reset raises."""
     sock.setblocking(False)
     data = b""
     while part := await asyncio.get_running_loop().sock_recv(sock, 65536):
@@ -62,7 +62,7 @@
 
 
 class ConnectionGate:
-    """Holds back connections to targets until it is opened."""
+    """Delays new connections to targets until it is opened."""
 
     def __init__(self, world) -> None:
         pool = world.app.target_client.pool
@@ -73,7 +73,7 @@
         self.is_open = asyncio.Event()
 
     async def assert_nothing_starts(self) -> None:
-        """Open it; nothing that it held back starts: another request is the first that a target sees."""
+        """Open the gate and check that no delayed attempt starts: the next request arrives first."""
         self.is_open.set()
         assert (await self.world.read(tag=2)).end == "served"
         assert [tag for _, tag in self.world.targets[0].begun] == [2]
@@ -88,9 +88,9 @@
 @pytest.mark.parametrize("kind", ["http", "nvme"])
 @pytest.mark.parametrize("draining", [False, True])
 def test_no_attempt_starts_for_a_client_that_disconnects_while_a_connection_is_established(kind, draining):
-    """The attempt stayed, and started once its connection was established."""
+    """The attempt was not cancelled and started once its connection was established."""
 
-    async def scene(world):
+    async def scenario(world):
         gate = ConnectionGate(world)
         client_task = asyncio.create_task(world.read(tag=1))
         await world.until(lambda: gate.held_count == 1)
@@ -100,26 +100,26 @@
         await world.until(lambda: world.app.engine.open_request_count == 0)
         await gate.assert_nothing_starts()
 
-    play(scene, kind)
+    run_scenario(scenario, kind)
 
 
 def test_a_request_is_not_sent_if_its_client_disconnected_before_it_was_read():
-    """The turn that sends the request comes before the event loop reads the end of the connection."""
+    """The request is sent in a loop iteration before the one that reads the end of the connection."""
 
-    async def scene(world):
+    async def scenario(world):
         with connect_client(world) as client:
             client.sendall(encode_get(1))
         assert (await world.read(tag=2)).end == "served"
         assert [tag for _, tag in world.targets[0].begun] == [2]
         assert world.app.engine.counts["gone"] == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_the_disconnect_of_a_client_that_sent_more_than_a_buffer_ahead_is_noticed():
-    """Its connection was no longer read once the buffer was full, so its end was not noticed either."""
+def test_the_disconnect_of_a_client_that_pipelined_more_than_a_buffer_is_detected():
+    """The connection was no longer read once the buffer was full, so its end was not detected."""
 
-    async def scene(world):
+    async def scenario(world):
         gate = ConnectionGate(world)
         client = connect_client(world)
         client.sendall(encode_get(1) + bytes(200_000))
@@ -129,93 +129,93 @@
         await gate.assert_nothing_starts()
         assert world.app.engine.counts["gone"] == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_client_that_sends_too_much_ahead_gets_its_response_and_then_a_close():
-    async def scene(world):
+def test_a_client_that_pipelines_too_much_gets_its_response_and_then_a_close():
+    async def scenario(world):
         client = connect_client(world)
         client.sendall(encode_get(1) + bytes(200_000))
-        answer = await read_to_end(client)
-        assert answer.startswith(b"HTTP/1.1 200") and answer.endswith(world.targets[0].content(1, BLOCK))
+        response = await read_to_end(client)
+        assert response.startswith(b"HTTP/1.1 200") and response.endswith(world.targets[0].content(1, BLOCK))
         client.close()
         await world.until(lambda: len(world.app.listener) == 0)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_the_disconnect_of_a_host_that_is_not_read_from_is_noticed():
-    """It does not read its completions, so no further command of it is read either."""
+def test_the_disconnect_of_a_host_whose_commands_are_not_read_is_detected():
+    """The host does not read its completions, so the initiator reads no further commands from it."""
 
-    async def scene(world):
+    async def scenario(world):
         gate = ConnectionGate(world)
         _, io = await world.client.associate()
         size = BLOCK * PER_UNIT
         io.writer.write(nvme.io_command(nvme.READ, 9, 1, 1, size // BLOCK, size, b""))
         await world.until(lambda: gate.held_count == 1)
         queue = next(iter(world.app.server.associations.values())).queues[1]
-        queue.pause_writing()  # as when the kernel takes no more of what it does not read
+        queue.pause_writing()  # as when the kernel takes no more because the host does not read
         io.writer.write(b"".join(nvme.command(nvme.KEEP_ALIVE, 9) for _ in range(400)))
         await world.until(lambda: queue._paused)
-        for stream in world.client.streams:  # its machine is gone: every connection of it
+        for stream in world.client.streams:  # as if the host had failed: all its connections end
             stream.writer.transport.abort()
         await world.until(lambda: world.app.engine.open_request_count == 0, DEADLINE / 3)
         await gate.assert_nothing_starts()
 
-    play(scene, "nvme")
+    run_scenario(scenario, "nvme")
 
 
 # --- Closes ------------------------------------------------------------------------------------------
-def call_around(monkeypatch, method: str, when: str, act) -> None:
-    """Call `act` directly before or after a method of a client's connection."""
+def call_around(monkeypatch, method: str, when: str, callback) -> None:
+    """Call `callback` directly before or after a method of a client's connection."""
     original = getattr(http_server.ClientConnection, method)
 
     def wrapped(self, *args, **kwargs):
         if when == "before":
-            act()
+            callback()
         result = original(self, *args, **kwargs)
         if when == "after":
-            act()
+            callback()
         return result
 
     monkeypatch.setattr(http_server.ClientConnection, method, wrapped)
 
 
-@pytest.mark.parametrize("bad", [False, True])
-def test_bytes_that_arrive_during_a_close_do_not_lose_the_response(monkeypatch, bad):
-    """They turned the close into a reset."""
+@pytest.mark.parametrize("is_invalid", [False, True])
+def test_bytes_that_arrive_during_a_close_do_not_lose_the_response(monkeypatch, is_invalid):
+    """The unread bytes turned the close into a reset, which discarded the response."""
 
-    async def scene(world):
+    async def scenario(world):
         client = connect_client(world)
         call_around(monkeypatch, "_write_response", "before", lambda: client.sendall(b"GET /late"))
-        client.sendall(encode_get(1, Connection="close", **({"Tier": "tin"} if bad else {})))
-        answer = await read_to_end(client)
-        assert answer.startswith(b"HTTP/1.1 400" if bad else b"HTTP/1.1 200")
+        client.sendall(encode_get(1, Connection="close", **({"Tier": "tin"} if is_invalid else {})))
+        response = await read_to_end(client)
+        assert response.startswith(b"HTTP/1.1 400" if is_invalid else b"HTTP/1.1 200")
         client.close()
         await world.until(lambda: len(world.app.listener) == 0)
-        assert [tag for _, tag in world.targets[0].begun] == [1] * (not bad)
+        assert [tag for _, tag in world.targets[0].begun] == [1] * (not is_invalid)
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(monkeypatch):
-    """The close became a reset, which loses the response before it if that was not read yet."""
+    """The close became a reset, which loses a preceding response that the client has not read yet."""
     monkeypatch.setattr("stalltiller.transport.listener.IDLE_TIMEOUT_SECONDS", 0.05)
 
-    async def scene(world):
+    async def scenario(world):
         client = connect_client(world)
         client.sendall(encode_get(1))
         call_around(monkeypatch, "is_clean", "after", lambda: client.sendall(encode_get(2)))
-        answer = await read_to_end(client)
-        assert answer.count(b"HTTP/1.1") == 1 and answer.startswith(b"HTTP/1.1 200")
+        response = await read_to_end(client)
+        assert response.count(b"HTTP/1.1") == 1 and response.startswith(b"HTTP/1.1 200")
         assert [tag for _, tag in world.targets[0].begun] == [1]
         client.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_bytes_that_arrive_as_a_long_response_ends_do_not_truncate_it(monkeypatch):
-    async def scene(world):
+    async def scenario(world):
         size = 300_000
         monkeypatch.setattr(world.targets[0], "content", lambda tag, _: b"x" * size)
         client = connect_client(world)
@@ -224,11 +224,11 @@
         assert (await read_to_end(client)).count(b"x") == size
         client.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_bytes_after_an_administration_call_do_not_lose_its_response(monkeypatch):
-    async def scene(world):
+    async def scenario(world):
         await world.app.admin.open("127.0.0.1", 0)
         client = socket.create_connection(world.app.admin.address, timeout=5)
         original = world.app.is_ready
@@ -242,20 +242,20 @@
         assert (await read_to_end(client)).startswith(b"HTTP/1.1 200")
         client.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 # --- The shutdown ----------------------------------------------------------------------------------------
 @pytest.mark.parametrize("accepted", [False, True])
 def test_connections_that_wait_to_be_accepted_when_the_listener_stops_are_served(accepted):
-    """A connection that waited in the kernel, or was accepted and not set up yet, was reset."""
+    """A connection in the kernel's accept queue, or accepted but not set up yet, was reset."""
 
-    async def scene(world):
+    async def scenario(world):
         listener = world.app.listener
         client = connect_client(world)
         client.sendall(encode_get(1, Connection="close"))
         address = listener.address
-        if accepted:  # it stops between the accept and the turn that sets the connection up
+        if accepted:  # stops between the accept and the iteration that sets up the connection
             asyncio.get_running_loop()._accept_connection(
                 lambda: listener._connection_factory(listener), listener._listening, server=listener._server
             )
@@ -265,15 +265,15 @@
             socket.create_connection(address, timeout=1)
         client.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_request_that_is_complete_only_after_finish_all_is_rejected_not_dropped(monkeypatch):
-    """The process ended with a request that was read and not answered."""
+    """The process ended without a response to a request that it had read."""
     monkeypatch.setattr("stalltiller.daemon.graceful_shutdown.KEEP_LISTENING_SECONDS", 0.01)
     monkeypatch.setattr("stalltiller.daemon.graceful_shutdown.CLOSING_SECONDS", 0.01)
 
-    async def scene(world):
+    async def scenario(world):
         client = connect_client(world)
         client.sendall(encode_get(1)[:-2])  # an incomplete header keeps the connection open
         await world.until(lambda: len(world.app.listener) == 1)
@@ -290,14 +290,14 @@
         await asyncio.wait_for(world.running, 5)
         assert world.targets[0].begun == []
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("write", [False, True])
-def test_finish_all_withdraws_an_attempt_that_has_not_started_and_rejects_its_request(write):
-    """An attempt started although its request was answered, when its connection came; a write failed."""
+def test_finish_all_cancels_an_attempt_that_has_not_started_and_rejects_its_request(write):
+    """An attempt of a finished request started once its connection was established; a write was failed."""
 
-    async def scene(world):
+    async def scenario(world):
         gate = ConnectionGate(world)
         client_task = asyncio.create_task(world.write(tag=1) if write else world.read(tag=1))
         await world.until(lambda: gate.held_count == 1)
@@ -308,37 +308,37 @@
         assert (await world.read(tag=2)).end == "served"
         assert [tag for _, tag in world.targets[0].begun] == [2]
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_long_response_that_the_shutdown_truncates_does_not_look_complete(monkeypatch):
-    """For an HTTP/1.0 client a response without a length ends with its connection."""
+    """For an HTTP/1.0 client, an orderly close of the connection completes a response without a length."""
     for name in ("KEEP_LISTENING_SECONDS", "CLOSING_SECONDS", "LINGER_SECONDS"):
         monkeypatch.setattr(f"stalltiller.daemon.graceful_shutdown.{name}", 0.01)
 
-    async def scene(world):
-        async def answer(reader, writer):
+    async def scenario(world):
+        async def send_partial_response(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b"x" * 300_000)
             await asyncio.get_running_loop().create_future()
 
-        world.targets[0].serve = answer
+        world.targets[0].serve = send_partial_response
         client = connect_client(world)
         client.sendall(encode_get(1).replace(b"HTTP/1.1", b"HTTP/1.0"))
         await world.until(lambda: world.app.engine.counts["relayed"] == 1)
         world.app.stop.set()
         await asyncio.wait_for(world.running, 5)
-        # It must come now: what is still open when the process ends is closed in an orderly way.
+        # The reset must come now: the end of the process closes open connections in an orderly way.
         with pytest.raises(ConnectionResetError):
             await asyncio.wait_for(read_to_end(client), 1)
         client.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 # --- Retries and drains ----------------------------------------------------------------------------
-def test_a_retry_with_a_key_does_not_start_after_the_deduplication_window():
-    """It was decided in time, and started when its connection was established, after the window."""
+def test_a_keyed_retry_does_not_start_after_the_deduplication_window():
+    """The retry was decided within the window, but started after it, once its connection was established."""
     class_with_key = request_class(
         name="read",
         latency_objective=0.4,
@@ -347,7 +347,7 @@
         deduplication_window=0.1,
     )
 
-    async def scene(world):
+    async def scenario(world):
         world.targets[0].mode = "break"
         pool = world.app.target_client.pool
         connect = world.app.target_client.connect
@@ -361,11 +361,11 @@
         await asyncio.sleep(1.0)
         assert len(world.targets[0].begun) == 1
 
-    play(scene, run=run_on_simulated_clock, classes=(class_with_key,))
+    run_scenario(scenario, run=run_on_simulated_clock, classes=(class_with_key,))
 
 
 def test_the_idempotency_key_is_forwarded_unchanged():
-    """It was left out, so a retry would have been executed twice (found on a site with a keyed class)."""
+    """The key was not forwarded, so targets would have executed a retry a second time."""
     received_fields = []
 
     class RecordingTarget(Standin):
@@ -373,7 +373,7 @@
             received_fields.append((await read_message(reader)).head.fields)
             writer.write(http.encode_response(200, b"ok"))
 
-    async def scene(world):
+    async def scenario(world):
         target = RecordingTarget()
         await target.open()
         target.name, target.shard = "s-0", 0
@@ -390,15 +390,15 @@
         client.close()
         target.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("listed_as", ["leaving", "left", "missing"])
 def test_no_attempt_starts_after_a_drain_announced_while_its_connection_is_established(listed_as):
-    """An attempt was bound only by a drain that was announced before it was sent."""
-    patient_class = request_class(name="read", latency_objective=4.0, deadline=5.0)
+    """Only a drain announced before the engine started an attempt limited when it was sent."""
+    long_deadline_class = request_class(name="read", latency_objective=4.0, deadline=5.0)
 
-    async def scene(world):
+    async def scenario(world):
         target, gate = world.targets[0], ConnectionGate(world)
         world.app.target_client.pool._connect_timeout = 9.0
         client = connect_client(world)
@@ -411,55 +411,55 @@
             world.discovery.set(target, listed_as)
         logged_before = len(world.logged)
         await world.until(lambda: any(line["event"] == "list" for line in world.logged[logged_before - 1 :]))
-        await asyncio.sleep(world.settings.rules.drain_grace + 0.1)  # on the jumping clock
+        await asyncio.sleep(world.settings.rules.drain_grace + 0.1)  # on the simulated clock
         gate.is_open.set()
         assert not (await read_to_end(client)).startswith(b"HTTP/1.1 200")
         assert target.begun == []
         client.close()
 
-    play(scene, run=run_on_simulated_clock, classes=(patient_class,))
+    run_scenario(scenario, run=run_on_simulated_clock, classes=(long_deadline_class,))
 
 
 def test_a_late_duplicate_response_is_not_used_for_the_next_request(monkeypatch):
-    """It crossed a request sent on the connection meanwhile, and was served as its response."""
+    """The duplicate crossed the next request on the connection and was taken for its response."""
 
-    async def scene(world):
+    async def scenario(world):
         world.app.target_client.pool._avoided_idle_range = (
             0.0,
             60.0,
-        )  # the second response comes within it on any machine
+        )  # long enough for the second response on a slow machine
 
         async def serve_twice(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
-            answer = http.encode_response(200, world.targets[0].content(1, BLOCK))
-            writer.write(answer)
+            response = http.encode_response(200, world.targets[0].content(1, BLOCK))
+            writer.write(response)
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(answer)
+            writer.write(response)
             await reader.read()
 
-        served, world.targets[0].serve = world.targets[0].serve, serve_twice
+        original_serve, world.targets[0].serve = world.targets[0].serve, serve_twice
         assert (await world.read(tag=1)).data == world.targets[0].content(1, BLOCK)
-        world.targets[0].serve = served
+        world.targets[0].serve = original_serve
         assert (await world.read(tag=2)).data == world.targets[0].content(2, BLOCK)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_connection_is_reused_after_its_rest_or_if_no_other_may_be_opened():
-    async def scene(world):
+def test_a_connection_is_reused_outside_the_avoided_idle_range_or_at_the_connection_limit():
+    async def scenario(world):
         pool = world.app.target_client.pool
-        for max_connections, min_rest, max_rest, opened_count in (
+        for max_connections, min_avoided, max_avoided, opened_count in (
             (99, 0.0, 0.0, 1),
             (99, 0.0, 60.0, 3),
             (3, 0.0, 60.0, 3),
             (99, 60.0, 90.0, 3),
         ):
-            pool._max_channels, pool._avoided_idle_range = max_connections, (min_rest, max_rest)
+            pool._max_channels, pool._avoided_idle_range = max_connections, (min_avoided, max_avoided)
             for _ in range(2):
                 assert (await world.read(tag=1)).end == "served"
             assert pool.opened_count == opened_count
 
-    play(scene)
+    run_scenario(scenario)
 
 
 # --- Responses that end by a reset ------------------------------------------------------------------------
@@ -467,10 +467,10 @@
 @pytest.mark.parametrize("reset", [True, False])
 @pytest.mark.parametrize("slow", [False, True])
 def test_a_reset_does_not_complete_a_response_without_a_length(size, reset, slow):
-    """Only an orderly end of the connection completes such a response, also if its client reads slowly."""
+    """Only an orderly close completes such a response, even if its client reads slowly."""
 
-    async def scene(world):
-        async def answer(reader, writer):
+    async def scenario(world):
+        async def send_response(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b"x" * size)
             await writer.drain()
@@ -481,20 +481,20 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             writer.transport.close()
 
-        world.targets[0].serve = answer
+        world.targets[0].serve = send_response
         client = connect_client(world)
         if slow:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.sendall(encode_get(1, Connection="close"))
-        got = b""
+        received = b""
         with contextlib.suppress(ConnectionResetError):
-            got = await read_to_end(client)
-        whole = (
-            got.startswith(b"HTTP/1.1 200")
-            and got.count(b"x") == size
-            and (b"chunked" not in got or got.endswith(b"0\r\n\r\n"))
+            received = await read_to_end(client)
+        is_complete = (
+            received.startswith(b"HTTP/1.1 200")
+            and received.count(b"x") == size
+            and (b"chunked" not in received or received.endswith(b"0\r\n\r\n"))
         )
-        assert whole is not reset
+        assert is_complete is not reset
         client.close()
 
-    play(scene)
+    run_scenario(scenario)
--- a/tests/test_routing_tables.py
+++ b/tests/test_routing_tables.py
@@ -1,4 +1,4 @@
-"""The engine's timers and its table of targets, without an engine."""
+"""Unit tests of the engine's timer queue and target table."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     return TargetEndpoint(entry(target_id, status=status), "h", target_id)
 
 
-def test_timers_run_by_time_then_in_the_order_in_which_they_were_set():
-    async def scene():
+def test_timers_run_by_due_time_and_then_in_the_order_in_which_they_were_set():
+    async def scenario():
         loop = asyncio.get_running_loop()
         timers = TimerQueue(loop, lambda: None)
         now = loop.time()
@@ -34,11 +34,11 @@
         timers.run_due(now + 0.2)
         assert calls[-1] == "later"
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_the_loop_is_woken_for_the_earliest_timer():
-    async def scene():
+def test_the_queue_signals_when_the_earliest_timer_is_due():
+    async def scenario():
         loop = asyncio.get_running_loop()
         due = asyncio.Event()
         timers = TimerQueue(loop, due.set)
@@ -46,11 +46,11 @@
         timers.call_at(loop.time() + 0.01, print)
         await asyncio.wait_for(due.wait(), 10)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("kind", [TargetListKind.DELTA, TargetListKind.FULL])
-def test_a_drain_counts_from_its_first_announcement(kind):
+def test_a_drain_grace_starts_at_the_first_announcement(kind):
     now = 10.0
     table = TargetTable(lambda: now)
     table.update(TargetListKind.FULL, [endpoint(1, TargetStatus.DRAINING)])
@@ -60,9 +60,9 @@
     assert table.latest_start(2, DRAIN_GRACE) is None
 
 
-@pytest.mark.parametrize(("kind", "remaining"), [(TargetListKind.DELTA, 3), (TargetListKind.FULL, 1)])
-def test_only_a_delta_keeps_the_targets_that_it_does_not_name(kind, remaining):
+@pytest.mark.parametrize(("kind", "target_count"), [(TargetListKind.DELTA, 3), (TargetListKind.FULL, 1)])
+def test_only_a_delta_keeps_the_targets_that_it_does_not_list(kind, target_count):
     table = TargetTable(lambda: 0.0)
     table.update(TargetListKind.FULL, [endpoint(1), endpoint(2)])
     assert table.update(kind, [endpoint(3)]) == set()
-    assert len(table) == remaining
+    assert len(table) == target_count
