--- a/stalltiller/routing/ports.py
+++ b/stalltiller/routing/ports.py
@@ -110,13 +110,13 @@
 class AttemptResult:
     """How an attempt ended.
 
-    `answer` is the response for the client, used only if the status is OK.  The target may have reported the
+    `response` is for the client and is used only if the status is OK.  The target may have reported the
     rest: `other_units`, the units served for the volume through other initiators, and `report`, its load
     figures.
     """
 
     status: AttemptStatus
-    answer: Any = None
+    response: Any = None
     other_units: float = 0.0
     report: tuple[float, ...] = ()
 
--- a/stalltiller/routing/request_table.py
+++ b/stalltiller/routing/request_table.py
@@ -84,7 +84,7 @@
             state.first_executed_at = attempt.sent_at
         if result.status is AttemptStatus.OK and not state.is_finished:
             self.finish(state, RequestOutcome.SERVED)
-            state.client_request.response_handler.complete(result.answer)
+            state.client_request.response_handler.complete(result.response)
         request_done = state.is_finished
         self._context.counts[f"attempt_{result.status.value}"] += 1
         if self._context.trace is not None:
