--- a/bench/lease_model.py
+++ b/bench/lease_model.py
@@ -1,16 +1,16 @@
 """Simulates leases under faults: `python -m bench.lease_model [--seeds 10000] [--bug BUG]`.
 
-Three or five voters and three clients share one virtual clock, each reading it at a rate of its own.
+Three or five voters and three clients share one virtual clock, each reading it at its own rate.
 Messages are lost, delayed, duplicated and cut off by partitions; voters are killed and restart with their
-disks, compact their logs every few entries and send snapshots to voters that lack them; clients are suspended
-in the middle of an effect.
+disks, compact their logs every few entries and send snapshots to voters that lack entries; clients are
+suspended between the check of a lease and an effect.
 
-After each step these invariants must hold: one leader in a term; the same entry at an index wherever it was
-applied; the same state wherever the log was compacted; one holder by true time; no effect accepted from an
-earlier grant.  A violation is printed with its seed, which replays it.
+After each step these invariants must hold: at most one leader per term; the same entry applied at an index by
+all voters; the same state in all snapshots at an index; at most one holder by true time; no effect accepted
+from an earlier grant.  A violation is printed with its seed, which reproduces it.
 
-`--bug` plants one: `vote`, a vote that is not durable; `early`, a lease held past its duration; `token`, a
-token that is not checked; `state`, a snapshot that is not restored.
+`--bug` adds a bug that the simulation must find: `vote`, a vote is not durable; `early`, a lease is held past
+its duration; `token`, a token is not checked; `state`, a snapshot is not restored.
 """
 
 from __future__ import annotations
@@ -52,14 +52,14 @@
 TTL_SECONDS = 1.5
 LEASE = "allot"
 CLIENT_COUNT = 3
-SNAPSHOT_CHUNK_BYTES = 40  # small, so most snapshots need several messages
-MAX_LOG_ENTRIES = 8  # small, so logs are compacted often
+SNAPSHOT_CHUNK_BYTES = 40  # small, so that most snapshots need several messages
+MAX_LOG_ENTRIES = 8  # small, so that logs are compacted often
 BUGS = ("vote", "early", "token", "state")
 EARLY_BUG_TTL_FACTOR = 1.6
-EFFECT_RECEIVER = "gate"  # the receiver of effects, which checks their tokens
+EFFECT_RECEIVER = "effect receiver"  # checks the tokens of effects
 MAX_PRINTED_VIOLATIONS = 5
 
-# Probabilities of faults: of a step for each voter or the network, or of an event.
+# Probabilities of faults, per step for each voter or the network, or per event.
 KILL_PROBABILITY = 0.004
 TRANSFER_PROBABILITY = 0.004
 PARTITION_PROBABILITY = 0.004
@@ -75,7 +75,7 @@
 
 
 class ClientMessage(NamedTuple):
-    """A command from a client to a voter, and back with the token that answers it."""
+    """A command from a client to a voter, or the response with the resulting token."""
 
     command: Command
     sent_at: float  # on the client's clock
@@ -83,7 +83,7 @@
 
 
 class Delivery(NamedTuple):
-    """A message on its way; the sequence number orders those that are due at the same time."""
+    """A message in flight; the sequence number orders messages that are due at the same time."""
 
     due_at: float
     sequence: int
@@ -93,7 +93,7 @@
 
 
 class PendingCommand(NamedTuple):
-    """A command on a voter's log whose client awaits the response."""
+    """A command in a voter's log whose client awaits the response."""
 
     term: int
     client: Client
@@ -101,8 +101,8 @@
     command: Command
 
 
-class Result(NamedTuple):
-    """How the schedule of one seed went."""
+class SimulationResult(NamedTuple):
+    """The result of one seed's schedule of faults."""
 
     seed: int
     violation: str | None
@@ -140,7 +140,7 @@
         self.pending: dict[int, PendingCommand] = {}  # by log index
 
     def kill(self, down_until: float) -> None:
-        """End the process; its disk stays."""
+        """Kill the process; its disk remains."""
         self.raft = None
         self.down_until = down_until
 
@@ -151,7 +151,7 @@
         self.disk = PersistentState(action.term, action.voted_for, entries)
 
     def persist_snapshot(self, action: PersistSnapshot) -> None:
-        """Write a snapshot to the disk in place of its entries."""
+        """Write a snapshot to the disk and delete the entries that it replaces."""
         entries = (
             [] if action.discard_log else self.disk.entries[action.index - self.disk_snapshot.last_index :]
         )
@@ -160,7 +160,7 @@
 
 
 class Client:
-    """A client that wants to hold the lease and executes effects under it."""
+    """A client that tries to hold the lease and executes effects under it."""
 
     def __init__(self, name: str, clock_rate: float, bug: str | None) -> None:
         self.name = name
@@ -168,7 +168,7 @@
         self.command_numbers = itertools.count(1)
         self.holder = LeaseHolder(LEASE, TTL_SECONDS * (EARLY_BUG_TTL_FACTOR if bug == "early" else 1.0))
         self.suspended_until = 0.0
-        self.next_turn_at = 0.0
+        self.next_run_at = 0.0
 
 
 class Simulation:
@@ -184,7 +184,7 @@
         self.voters = {name: Voter(name, names, self.rng.choice(clock_rates)) for name in names}
         self.clients = [Client(f"c{n}", self.rng.choice(clock_rates), bug) for n in range(CLIENT_COUNT)]
         self.network: list[Delivery] = []  # a heap
-        self.partition: set[str] = set()  # cut off from all others
+        self.partition: set[str] = set()  # the names that are cut off from all others
         self.partitioned_until = 0.0
         self.loss_probability = self.rng.choice((0.0, 0.05, 0.2))
         self.leaders: dict[int, str] = {}  # by term
@@ -198,7 +198,7 @@
             voter.start(0.0, self.rng.getrandbits(32), bug)
 
     def step(self) -> None:
-        """Advance the clock by one step and do all that is due."""
+        """Advance the clock by one step and run everything that is due."""
         self.now += STEP_SECONDS
         self.inject_faults()
         while self.network and self.network[0].due_at <= self.now:
@@ -206,17 +206,17 @@
         for voter in self.voters.values():
             self.run_timers(voter)
         for client in self.clients:
-            if self.now >= max(client.next_turn_at, client.suspended_until):
+            if self.now >= max(client.next_run_at, client.suspended_until):
                 self.run_client(client)
         self.check_holders()
 
     def check_holders(self) -> None:
-        """At most one client may hold the lease."""
+        """Check that at most one client holds the lease."""
         holders = [
             client.name for client in self.clients if client.holder.is_valid(self.now * client.clock_rate)
         ]
         if len(holders) > 1:
-            raise InvariantViolationError(f"held by {holders}")
+            raise InvariantViolationError(f"lease held by {holders}")
 
     # --- The network ------------------------------------------------------------------------------------
     def send(self, sender: str, receiver: str, content: RaftMessage | ClientMessage) -> None:
@@ -226,20 +226,20 @@
         if (sender in self.partition) != (receiver in self.partition):
             return
         for _ in range(1 + (self.rng.random() < DUPLICATE_PROBABILITY)):
-            fourth_delay = 0.4 if self.rng.random() < LONG_DELAY_PROBABILITY else 0.02
-            delay = self.rng.choice((0.005, 0.01, 0.03, fourth_delay))
+            occasionally_long_delay = 0.4 if self.rng.random() < LONG_DELAY_PROBABILITY else 0.02
+            delay = self.rng.choice((0.005, 0.01, 0.03, occasionally_long_delay))
             due_at = self.now + delay * (0.5 + self.rng.random())
             self.schedule(due_at, sender, receiver, content)
 
     def schedule(
         self, due_at: float, sender: str, receiver: str, content: RaftMessage | ClientMessage | int
     ) -> None:
-        """Have something delivered at a time."""
+        """Schedule a message or an effect for delivery at `due_at`."""
         delivery = Delivery(due_at, next(self.sequence_numbers), sender, receiver, content)
         heapq.heappush(self.network, delivery)
 
     def deliver(self, delivery: Delivery) -> None:
-        """Hand a message to its receiver."""
+        """Deliver a message or an effect to its receiver."""
         if isinstance(delivery.content, int):
             self.execute_effect(delivery.content)
         elif delivery.receiver in self.voters:
@@ -248,18 +248,18 @@
             self.deliver_to_client(self.client(delivery.receiver), delivery, delivery.content)
 
     def client(self, name: str) -> Client:
-        """The client of a name."""
+        """The client with this name."""
         return self.clients[int(name[1:])]
 
     def deliver_to_client(self, client: Client, delivery: Delivery, response: ClientMessage) -> None:
-        """Hand a response to a client; a suspended one reads it when it goes on."""
+        """Deliver a response to a client; a suspended client reads it when it resumes."""
         if self.now < client.suspended_until:
             self.schedule(client.suspended_until, delivery.sender, delivery.receiver, response)
         elif response.command.kind != CommandKind.RELEASE:
             client.holder.handle_response(response.sent_at, response.token or 0)
 
     def deliver_to_voter(self, voter: Voter, sender: str, content: RaftMessage | ClientMessage) -> None:
-        """Hand a message to a voter, unless it is down; only a leader accepts commands."""
+        """Deliver a message to a voter, unless it is down; only a leader accepts commands."""
         if voter.raft is None:
             return
         voter_time = self.now * voter.clock_rate
@@ -274,7 +274,7 @@
 
     # --- Voters -----------------------------------------------------------------------------------------
     def run_timers(self, voter: Voter) -> None:
-        """Do what is due at a voter, and as the leader expire leases."""
+        """Run a voter's timer if it is due, and expire leases if it leads."""
         voter_time = self.now * voter.clock_rate
         if voter.raft is not None and voter_time >= voter.raft.timer_at:
             self.execute(voter, voter.raft.tick(voter_time))
@@ -283,10 +283,10 @@
                 self.execute(voter, voter.raft.propose(voter_time, command)[1])
 
     def execute(self, voter: Voter, actions: list[Action]) -> None:
-        """Execute a voter's actions, compact its log and check that it is its term's only leader."""
+        """Execute a voter's actions, compact its log and check that its term has no other leader."""
         has_voted = False
         for action in actions:
-            self.execute_one(voter, action)
+            self.execute_action(voter, action)
             if isinstance(action, PersistState):
                 has_voted |= action.voted_for not in (None, voter.name) and not action.entries
         raft = voter.raft
@@ -300,7 +300,7 @@
         else:
             voter.is_leading = False
 
-    def execute_one(self, voter: Voter, action: Action) -> None:
+    def execute_action(self, voter: Voter, action: Action) -> None:
         """Execute one action."""
         if isinstance(action, PersistState):
             voter.persist_state(action)
@@ -316,15 +316,15 @@
             self.installed_snapshots += 1
 
     def compact(self, voter: Voter, raft: Raft) -> None:
-        """Compact a voter's log; the state must be the same as any other voter's there."""
+        """Compact a voter's log; all voters must have the same state at this index."""
         index = raft.commit_index
         state = encode_state_machine(voter.state_machine)
         if self.snapshots.setdefault(index, state) != state:
-            raise InvariantViolationError(f"two states at {index}")
+            raise InvariantViolationError(f"two states for log index {index}")
         self.execute(voter, raft.compact(self.now * voter.clock_rate, index, state))
 
     def observe_leader(self, voter: Voter, term: int) -> None:
-        """A voter leads; no other may have led in its term."""
+        """Record that a voter leads; no other may have led in its term."""
         if self.leaders.setdefault(term, voter.name) != voter.name:
             raise InvariantViolationError(f"two leaders in term {term}")
         if not voter.is_leading:
@@ -332,9 +332,9 @@
             voter.expiry_tracker.start(self.now * voter.clock_rate, voter.state_machine)
 
     def apply(self, voter: Voter, action: ApplyEntry) -> None:
-        """Apply an entry at a voter; all voters must apply the same one at its index."""
+        """Apply an entry at a voter; all voters must apply the same entry at its index."""
         if self.applied.setdefault(action.index, action.entry) != action.entry:
-            raise InvariantViolationError(f"two entries at {action.index}")
+            raise InvariantViolationError(f"two entries for log index {action.index}")
         command = action.entry.command
         if not isinstance(command, Command):
             return  # the first entry of a leader's term
@@ -349,16 +349,16 @@
     def run_client(self, client: Client) -> None:
         """Let a client acquire, renew or release the lease, and execute an effect while it holds it."""
         client_time = self.now * client.clock_rate
-        client.next_turn_at = self.now + 0.1 + 0.2 * self.rng.random()
+        client.next_run_at = self.now + 0.1 + 0.2 * self.rng.random()
         if not client.holder.is_valid(client_time):
-            client.holder.release(client_time - 1e-9)  # so that the response to this acquire counts
+            client.holder.release(client_time - 1e-9)  # so that the response to this acquire is accepted
             self.send_command(client, CommandKind.ACQUIRE)
             return
         if self.rng.random() < RELEASE_PROBABILITY:
             self.send_command(client, CommandKind.RELEASE)
             return
         self.send_command(client, CommandKind.RENEW)
-        if self.rng.random() < SUSPEND_PROBABILITY:  # between its check of the lease and the effect
+        if self.rng.random() < SUSPEND_PROBABILITY:  # between the check of the lease and the effect
             client.suspended_until = self.now + 4.0 * self.rng.random()
         effect_at = max(self.now, client.suspended_until) + 0.02 * self.rng.random()
         self.schedule(effect_at, client.name, EFFECT_RECEIVER, client.holder.token)
@@ -374,21 +374,21 @@
         self.send(client.name, voter, ClientMessage(command, client_time, None))
 
     def execute_effect(self, token: int) -> None:
-        """Execute an effect if the guard accepts its token; none of an earlier grant may get through."""
+        """Execute an effect if the guard accepts its token; no effect of an earlier grant may be executed."""
         if not self.guard.accept(token) and self.bug != "token":
             return
         self.executed_effects += 1
         if token < self.newest_effect_token:
             raise InvariantViolationError(
-                f"an effect of grant {token} after one of {self.newest_effect_token}"
+                f"an effect with token {token} after one with {self.newest_effect_token}"
             )
         self.newest_effect_token = token
 
     # --- Faults -----------------------------------------------------------------------------------------
     def inject_faults(self) -> None:
-        """Transfer leaderships, kill and restart voters, begin and end a partition."""
+        """Transfer leadership, kill and restart voters, start and end a partition."""
         for voter in self.voters.values():
-            self.disturb_voter(voter)
+            self.inject_voter_fault(voter)
         if self.now < self.partitioned_until:
             return
         if self.rng.random() < PARTITION_PROBABILITY:
@@ -398,7 +398,7 @@
         else:
             self.partition = set()
 
-    def disturb_voter(self, voter: Voter) -> None:
+    def inject_voter_fault(self, voter: Voter) -> None:
         """Transfer a leader's leadership, restart a voter that is down or kill one that is up."""
         if voter.raft is not None and voter.is_leading and self.rng.random() < TRANSFER_PROBABILITY:
             self.execute(voter, voter.raft.transfer_leadership(self.now * voter.clock_rate))
@@ -408,8 +408,8 @@
             voter.kill(self.now + self.rng.choice((0.05, 0.3, 2.0)))
 
 
-def simulate(seed: int, bug: str | None = None) -> Result:
-    """Run the schedule of one seed until its end or its first violation."""
+def simulate(seed: int, bug: str | None = None) -> SimulationResult:
+    """Run one seed's schedule of faults until its end or its first violation."""
     simulation = Simulation(seed, bug)
     violation = None
     try:
@@ -417,11 +417,11 @@
             simulation.step()
     except InvariantViolationError as error:
         violation = f"{error} at {simulation.now:.2f} s"
-    return Result(seed, violation, simulation.executed_effects, simulation.installed_snapshots)
+    return SimulationResult(seed, violation, simulation.executed_effects, simulation.installed_snapshots)
 
 
 def run(seeds: range, bug: str | None) -> dict[str, object]:
-    """Simulate all seeds; print the first violations and return the figures."""
+    """Simulate all seeds; print the first violations and return the totals."""
     started_at = time.monotonic()
     violating_seeds = []
     executed_effects = 0
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -1,9 +1,11 @@
-"""Measures leases between processes: `python -m bench.leases [--size 5] [--rounds 20]`.
+"""Measures leases in a fleet of processes: `python -m bench.leases [--size 5] [--rounds 20]`.
 
-Prints, as one JSON line each, the commits a second and their time on one voter's disk (synced, without a
-network), and the seconds from the end of the lease's holder, by SIGKILL and by SIGTERM, until another one
-holds it, at a lease of 1.5 s and with 3 voters: median and worst.  The holder is restarted each time.
-The keys of the lines stay as they are, so that figures can be compared with those of earlier versions.
+Prints two JSON lines.  The first has the commits per second and their time on one voter's disk (synced,
+without a network).  The second has the median and the maximum of the seconds from a SIGKILL or a SIGTERM to
+the lease's holder until another member holds the lease, with a lease of 1.5 s and 3 voters.  The holder is
+restarted each time.
+
+The keys of the lines must not change, so that the results can be compared with those of earlier versions.
 """
 
 from __future__ import annotations
@@ -27,7 +29,7 @@
 
 
 async def measure_failover(rig: Rig, stop_signal: signal.Signals) -> float:
-    """Stop the holder; the seconds until another member holds the lease."""
+    """Stop the holder; returns the seconds until another member holds the lease."""
     holder, token = await wait_for_holder(rig, list(rig.members))
     others = [name for name in rig.members if name != holder]
     started_at = time.monotonic()
@@ -39,43 +41,43 @@
     await process.wait()
     rig[holder].log.clear()
     await rig[holder].start()
-    await rig.until(lambda: rig[holder].logged("started") != [], "it is back")
+    await rig.until(lambda: rig[holder].logged("started") != [], "the stopped member has restarted")
     await rig.agreed()
     return seconds
 
 
 async def measure_failovers(size: int, rounds: int, folder: Path) -> dict[str, object]:
-    """The times of failovers in a fleet of real processes."""
-    figures = {}
+    """Measure failovers in a fleet of real processes."""
+    measurements = {}
     async with Rig(size, folder, voters="3") as rig:
         await rig.agreed()
         for stop_signal, label in ((signal.SIGKILL, "killed"), (signal.SIGTERM, "told")):
-            seconds = [await measure_failover(rig, stop_signal) for _ in range(rounds)]
-            figures[f"{label}_median_s"] = round(statistics.median(seconds), 2)
-            figures[f"{label}_worst_s"] = round(max(seconds), 2)
-    return {"kind": "hand_over", "size": size, "rounds": rounds, "lease_s": TTL, **figures}
+            failover_seconds = [await measure_failover(rig, stop_signal) for _ in range(rounds)]
+            measurements[f"{label}_median_s"] = round(statistics.median(failover_seconds), 2)
+            measurements[f"{label}_worst_s"] = round(max(failover_seconds), 2)
+    return {"kind": "hand_over", "size": size, "rounds": rounds, "lease_s": TTL, **measurements}
 
 
 def measure_commits(folder: Path) -> dict[str, object]:
-    """The time of a durable commit on one voter's disk."""
+    """Measure durable commits on one voter's disk."""
     store_folder = str(folder / "voter")
     create_voter_store(store_folder, VOTER)
     store = VoterStore(store_folder, VOTER)
-    seconds = []
+    commit_seconds = []
     for index in range(COMMIT_COUNT):
         command = Command(CommandKind.RENEW, "l", "h", 2.0, 1, 0, "s", index)
         action = PersistState(1, VOTER, index, (LogEntry(1, command),))
         started_at = time.monotonic()
         store.persist_state(action)
-        seconds.append(time.monotonic() - started_at)
+        commit_seconds.append(time.monotonic() - started_at)
     store.close()
-    seconds.sort()
+    commit_seconds.sort()
     return {
         "kind": "disk",
         "commits": COMMIT_COUNT,
-        "median_ms": round(1000 * statistics.median(seconds), 2),
-        "p99_ms": round(1000 * seconds[int(0.99 * COMMIT_COUNT)], 2),
-        "a_second": round(COMMIT_COUNT / sum(seconds)),
+        "median_ms": round(1000 * statistics.median(commit_seconds), 2),
+        "p99_ms": round(1000 * commit_seconds[int(0.99 * COMMIT_COUNT)], 2),
+        "a_second": round(COMMIT_COUNT / sum(commit_seconds)),
     }
 
 
@@ -87,8 +89,8 @@
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
         print(json.dumps(measure_commits(Path(folder))), flush=True)
-        figures = asyncio.run(measure_failovers(options.size, options.rounds, Path(folder)))
-        print(json.dumps(figures), flush=True)
+        failovers = asyncio.run(measure_failovers(options.size, options.rounds, Path(folder)))
+        print(json.dumps(failovers), flush=True)
 
 
 if __name__ == "__main__":
--- a/stalltiller/daemon/lease_service.py
+++ b/stalltiller/daemon/lease_service.py
@@ -1,6 +1,6 @@
-"""The roles that one initiator of a fleet holds at a time, by leases that some members vote on.
+"""This initiator's part in the leases: its client and, on some members, a voter.
 
-Carries the messages of the voters and clients in the fleet's datagrams.
+Sends the messages of the voters and clients in the fleet's datagrams.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     """The [leases] section of an operator's file.
 
     `voters` are the names of 3 or 5 members, `folder` holds this voter's store (created by `init-voter`),
-    `ttl` is in seconds, and after `max_log_entries` applied entries a voter takes a snapshot.
+    `ttl` is in seconds, and a voter takes a snapshot after `max_log_entries` applied entries.
     """
 
     voters: tuple[str, ...]
@@ -38,13 +38,13 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseServiceStatus:
-    """What this initiator holds, tokens by lease, and its voter's state if it votes."""
+    """The tokens of the leases that this initiator holds, and the state of its voter if it has one."""
 
     valid_leases: dict[str, int]
     voter: VoterStatus | None
 
     def to_json(self) -> dict[str, object]:
-        """The form in `GET /_fleet/leases`; its keys are fixed."""
+        """The JSON form in the response to `GET /_fleet/leases`; its keys must not change."""
         return {
             "held": self.valid_leases,
             "voter": None if self.voter is None else self.voter.to_json(),
@@ -52,10 +52,10 @@
 
 
 class LeaseService:
-    """This initiator's voter, if it is one, and the client that tries to hold each lease."""
+    """Runs the client that tries to hold each lease and, if this initiator is a voter, its voter."""
 
     def __init__(self, name: str, config: LeaseConfig, membership: MembershipAgent, log: Log) -> None:
-        """Start; raises VoterStoreError if this is a voter whose store is missing or another voter's."""
+        """Start the client and the voter; raises VoterStoreError if the store is missing or another's."""
         self._name = name
         self._membership = membership
         self._loop = asyncio.get_running_loop()
@@ -80,7 +80,7 @@
         )
 
     def fleet_totals(self) -> dict[str, float]:
-        """The fleet's totals by metric name, if this initiator holds their lease."""
+        """The fleet's totals by metric name; empty unless this initiator holds their lease."""
         token = self.client.fencing_token(FLEET_TOTALS_LEASE)
         if not token:
             return {}
@@ -92,18 +92,18 @@
         }
 
     def status(self) -> dict[str, object]:
-        """The answer to `GET /_fleet/leases`."""
+        """The response to `GET /_fleet/leases`."""
         voter = None if self.voter is None else self.voter.status()
         return LeaseServiceStatus(self.client.valid_leases(), voter).to_json()
 
     def release(self) -> None:
-        """This initiator stops or leaves: release its leases and transfer its voter's leadership."""
+        """Release the leases and transfer the voter's leadership, before a shutdown or leaving the fleet."""
         self.client.release()
         if self.voter is not None:
             self.voter.transfer_leadership()
 
     async def close(self) -> None:
-        """Stop the voter and handle no more packets."""
+        """Stop the voter and the handling of packets."""
         self._membership.handlers.pop(PacketKind.LEASES, None)
         if self.voter is not None:
             await self.voter.close()
@@ -113,7 +113,7 @@
             self._loop.call_soon(self._dispatch, receiver, message)
             return
         member = self._membership.swim.table.known.get(receiver)
-        if member is not None:  # also one considered dead: it may have restarted already
+        if member is not None:  # dead members included: they may have restarted already
             packet = Packet(PacketKind.LEASES, self._membership.swim.me, body=codec.encode(message))
             self._membership.send(member.address, packet)
 
--- a/stalltiller/leases/__init__.py
+++ b/stalltiller/leases/__init__.py
@@ -1,8 +1,8 @@
-"""Leases: roles that one initiator of a fleet holds at a time.
+"""Leases: roles that at most one initiator of a fleet holds at a time.
 
-The package replicates a log of lease commands among some members by Raft and applies it to a state machine.
-`Raft`, `LeaseStateMachine`, `LeaseExpiryTracker`, `LeaseHolder` and `FencingTokenGuard` decide without I/O;
-`voter`, `store` and `client` run them on the event loop and the disk.
+Some members of the fleet, the voters, replicate a log of lease commands by Raft and apply it to a state
+machine.  `Raft`, `LeaseStateMachine`, `LeaseExpiryTracker`, `LeaseHolder` and `FencingTokenGuard` do no I/O;
+`voter`, `store` and `client` connect them to the event loop and the disk.
 """
 
 from stalltiller.leases.actions import (
--- a/stalltiller/leases/actions.py
+++ b/stalltiller/leases/actions.py
@@ -1,6 +1,6 @@
-"""What the Raft implementation asks its voter to do, in this order: immutable values without behaviour.
+"""The actions that `Raft` returns, which its voter executes in order: immutable values without behaviour.
 
-An action that follows a `PersistState` or a `PersistSnapshot` may be executed only once that is durable.
+An action that follows a `PersistState` or a `PersistSnapshot` must wait until that one is durable.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 
 @dataclass(slots=True, frozen=True)
 class PersistSnapshot:
-    """Persist a snapshot in place of all entries up to `index`.
+    """Persist a snapshot, which replaces all entries up to `index`.
 
-    `term` is the term of the entry at `index`.  With `discard_log` the entries after it are deleted, too.
+    `term` is the term of the entry at `index`.  If `discard_log` is set, later entries are deleted, too.
     """
 
     index: int
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RestoreSnapshot:
-    """Replace the state machine's state by that of a snapshot, which includes all entries up to `index`."""
+    """Replace the state machine's state with a snapshot's, which includes all entries up to `index`."""
 
     index: int
     state: bytes
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ApplyEntry:
-    """Apply the entry at `index` to the state machine: it is committed."""
+    """Apply the committed entry at `index` to the state machine."""
 
     index: int
     entry: LogEntry
--- a/stalltiller/leases/clock_rate.py
+++ b/stalltiller/leases/clock_rate.py
@@ -1,5 +1,5 @@
-"""The assumption about clocks on which leases are safe."""
+"""The assumption about clock rates under which leases are safe."""
 
-# A second of a machine's clock is longer or shorter than a true second by at most this fraction.  A holder
-# counts its lease shorter by it and the leader longer, so the holder has stopped before another one begins.
+# One second on a machine's clock differs from a true second by at most this fraction.  A holder shortens its
+# lease by it and the leader lengthens it, so a holder has stopped before the lease is granted again.
 CLOCK_RATE_ERROR_FRACTION = 0.01
--- a/stalltiller/leases/codec.py
+++ b/stalltiller/leases/codec.py
@@ -1,6 +1,6 @@
 """The encoding of the messages between voters and clients of leases, and of a voter's stored state.
 
-Protocol buffers, each message within one datagram; what is decoded is checked against bounds.  No I/O.
+The messages are protocol buffers that each fit in one datagram; decoding checks bounds.  No I/O.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 )
 from stalltiller.leases.state_machine import Command, CommandKind, Lease, LeaseStateMachine, SessionResult
 
-MAX_MESSAGE_BYTES = 1200  # fits in one datagram together with the fleet's header
+MAX_MESSAGE_BYTES = 1200  # fits in one datagram together with the fleet's packet header
 MAX_NAME_CHARACTERS = 64
 MAX_TTL_SECONDS = 86400.0
 
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandResponse:
-    """The token that the client holds after its command, 0 if it holds none."""
+    """The fencing token that the client holds after its command, 0 if it holds none."""
 
     session: str
     number: int
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NotLeader:
-    """The voter that received a command does not lead; `leader` may, empty if the voter knows of none."""
+    """The voter that received a command is not the leader; `leader` names the one it knows, or is empty."""
 
     session: str
     number: int
@@ -59,7 +59,7 @@
 
 
 class MessageKind(IntEnum):
-    """The kinds of messages on the wire."""
+    """The kinds of messages; the values are sent."""
 
     REQUEST_VOTE = 1
     REQUEST_VOTE_RESPONSE = 2
@@ -74,7 +74,7 @@
 
 
 class MalformedMessageError(ValueError):
-    """Received or stored bytes are no valid message; `reason` names the part that is not."""
+    """Received or stored bytes are not a valid message; `reason` names the invalid part."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -83,17 +83,17 @@
 
 # --- Log entries and the state machine --------------------------------------------------------------------
 def encode_entry(entry: LogEntry) -> bytes:
-    """A log entry as a voter stores it."""
+    """Encode a log entry for a voter's store."""
     return _entry_to_pb(entry).SerializeToString()
 
 
 def decode_entry(data: bytes) -> LogEntry:
-    """A stored log entry; raises MalformedMessageError if its command is out of bounds."""
+    """Decode a stored log entry; raises MalformedMessageError if its command is out of bounds."""
     return _entry_from_pb(pb.LogEntry.FromString(data))
 
 
 def encode_state_machine(state_machine: LeaseStateMachine) -> bytes:
-    """The whole state, as a snapshot contains it."""
+    """Encode the whole state for a snapshot."""
     state = pb.State()
     for name, lease in state_machine.leases.items():
         state.leases.add(
@@ -109,7 +109,7 @@
 
 
 def decode_state_machine(data: bytes) -> LeaseStateMachine:
-    """The state in a snapshot, the empty state if there is none; raises MalformedMessageError."""
+    """Decode the state in a snapshot; empty bytes give the empty state.  Raises MalformedMessageError."""
     state = pb.State()
     try:
         state.ParseFromString(data)
@@ -138,7 +138,7 @@
 
 
 def _command_from_pb(command: pb.Command) -> Command:
-    _check_names("command", (command.kind, command.lease, command.holder, command.session))
+    _check_name_lengths("command", (command.kind, command.lease, command.holder, command.session))
     if not 0.0 <= command.ttl <= MAX_TTL_SECONDS:
         raise MalformedMessageError("command")
     return Command(
@@ -154,7 +154,7 @@
 
 
 def _command_kind(kind: str) -> CommandKind | str:
-    """The kind; one that this version does not know stays text, so the log is the same on every voter."""
+    """A command's kind; an unknown kind stays a string, so that the log is the same on every voter."""
     return CommandKind(kind) if kind in _COMMAND_KINDS else kind
 
 
@@ -176,14 +176,14 @@
     return LogEntry(entry.term, command)
 
 
-def _check_names(reason: str, names: Iterable[str]) -> None:
+def _check_name_lengths(reason: str, names: Iterable[str]) -> None:
     if max(map(len, names)) > MAX_NAME_CHARACTERS:
         raise MalformedMessageError(reason)
 
 
 # --- Messages ---------------------------------------------------------------------------------------------
 def encode(message: Message) -> bytes:
-    """One message; of the entries to append as many as fit into `MAX_MESSAGE_BYTES`."""
+    """Encode a message; `AppendEntries` gets only as many entries as fit into `MAX_MESSAGE_BYTES`."""
     encoder: Callable[[Message], pb.Message] = _ENCODERS[type(message)]
     return encoder(message).SerializeToString()
 
@@ -195,7 +195,7 @@
         encoded.ParseFromString(data)
     except DecodeError as error:
         raise MalformedMessageError("malformed") from error
-    _check_names("text", (encoded.session, encoded.leader))
+    _check_name_lengths("text", (encoded.session, encoded.leader))
     entries = tuple(_entry_from_pb(entry) for entry in encoded.entries)
     match encoded.kind:
         case MessageKind.APPEND_ENTRIES:
--- a/stalltiller/leases/elections.py
+++ b/stalltiller/leases/elections.py
@@ -1,4 +1,4 @@
-"""Raft's elections with pre-vote: campaigns, and the votes that a voter grants.
+"""Raft's elections with pre-vote: this voter's candidacies, and its votes for other candidates.
 
 Source: Ongaro's thesis, sections 3.4 (elections), 9.6 (pre-vote) and 3.10 (leadership transfer).
 """
@@ -12,7 +12,7 @@
 
 
 class Elections:
-    """Starts elections and answers those of others; calls `on_elected` when this voter has won one."""
+    """Starts elections and responds to other candidates; calls `on_elected` when this voter is elected."""
 
     def __init__(self, state: RaftState, on_elected: Callable[[], None]) -> None:
         self._state = state
@@ -20,7 +20,7 @@
         self._votes: set[str] = set()
 
     def start_pre_vote(self) -> None:
-        """Ask whether an election would be won, without a change of term."""
+        """Request pre-votes, which show whether an election could be won, without changing the term."""
         self._campaign_as(Role.PRE_CANDIDATE)
         if self._has_won():
             self.start_election()
@@ -28,7 +28,7 @@
             self._request_votes(self._state.term + 1, is_pre_vote=True, is_leadership_transfer=False)
 
     def start_election(self, is_leadership_transfer: bool = False) -> None:
-        """Begin a new term and ask for votes."""
+        """Start a new term and request votes."""
         state = self._state
         state.term += 1
         state.voted_for = state.name
@@ -40,24 +40,24 @@
             self._request_votes(state.term, False, is_leadership_transfer)
 
     def handle_timeout_now(self, sender: str) -> None:
-        """Start the election that the leader has asked for."""
+        """Start an election if the current leader requests it."""
         if sender == self._state.leader and self._state.role is Role.FOLLOWER:
             self.start_election(is_leadership_transfer=True)
 
     def handle_request(self, sender: str, request: RequestVote) -> None:
-        """Answer a candidate.
+        """Respond to a candidate.
 
-        While a leader is heard no vote is granted, so a voter that returns from a partition can't unseat it.
+        No vote is granted while a leader is active, so a voter that returns from a partition can't depose it.
         """
-        if self._has_live_leader() and not request.is_leadership_transfer:
-            self._reject_for_live_leader(sender, request)
+        if self._has_active_leader() and not request.is_leadership_transfer:
+            self._reject_for_active_leader(sender, request)
         elif request.is_pre_vote:
-            self._answer_pre_vote(sender, request)
+            self._respond_to_pre_vote(sender, request)
         else:
-            self._answer_vote(sender, request)
+            self._respond_to_vote_request(sender, request)
 
     def handle_response(self, sender: str, response: RequestVoteResponse) -> None:
-        """Count a vote, if it belongs to the election that this voter runs now."""
+        """Count a vote if it belongs to this voter's current election."""
         state = self._state
         role = Role.PRE_CANDIDATE if response.is_pre_vote else Role.CANDIDATE
         term = state.term + 1 if response.is_pre_vote else state.term
@@ -86,11 +86,11 @@
         for voter in state.other_voters:
             state.send(voter, request)
 
-    def _has_live_leader(self) -> bool:
+    def _has_active_leader(self) -> bool:
         state = self._state
         return state.role is Role.LEADER or state.now - state.last_leader_contact_at < state.timeouts.election
 
-    def _reject_for_live_leader(self, sender: str, request: RequestVote) -> None:
+    def _reject_for_active_leader(self, sender: str, request: RequestVote) -> None:
         """Reject a vote; a pre-vote for a newer term is ignored, since no response could help its sender."""
         if request.term <= self._state.term or not request.is_pre_vote:
             self._state.send(sender, RequestVoteResponse(self._state.term, request.is_pre_vote, False))
@@ -99,12 +99,12 @@
         own_log = (self._state.last_term, self._state.last_index)
         return (request.last_log_term, request.last_log_index) >= own_log
 
-    def _answer_pre_vote(self, sender: str, request: RequestVote) -> None:
+    def _respond_to_pre_vote(self, sender: str, request: RequestVote) -> None:
         state = self._state
         is_granted = request.term >= state.term and self._is_log_up_to_date(request)
         state.send(sender, RequestVoteResponse(request.term if is_granted else state.term, True, is_granted))
 
-    def _answer_vote(self, sender: str, request: RequestVote) -> None:
+    def _respond_to_vote_request(self, sender: str, request: RequestVote) -> None:
         state = self._state
         if request.term > state.term:
             state.become_follower(request.term)
--- a/stalltiller/leases/expiry.py
+++ b/stalltiller/leases/expiry.py
@@ -10,28 +10,28 @@
 
 
 class _ObservedLease(NamedTuple):
-    """A lease, and since when (in seconds on this voter's clock) it is as it is."""
+    """A lease's current state and when it was first observed, in seconds on this voter's clock."""
 
     lease: Lease
-    since: float
+    observed_at: float
 
 
 @dataclass(slots=True)
 class LeaseExpiryTracker:
-    """Finds the leases that have run out, by the leader's clock; times are in seconds.
+    """Finds the leases that have expired by the leader's clock; times are in seconds.
 
-    A new leader doesn't know when the leases were renewed, so for it each one starts anew.  A renewal counts
-    from when it was applied here, which is later than when its holder sent it.
+    A new leader doesn't know when the leases were renewed, so it restarts each lease's duration.  A renewal
+    counts from when the leader applied it, which is later than when its holder sent it.
     """
 
     _observed: dict[str, _ObservedLease] = field(default_factory=dict)
 
     def start(self, now: float, state_machine: LeaseStateMachine) -> None:
-        """This voter leads from now on."""
+        """Restart the duration of every lease when the leadership changes."""
         self._observed = {name: _ObservedLease(lease, now) for name, lease in state_machine.leases.items()}
 
     def observe(self, now: float, state_machine: LeaseStateMachine, command: Command) -> None:
-        """A command was applied."""
+        """Record the state of a lease after a command was applied to it."""
         lease = state_machine.leases.get(command.lease)
         if lease is None:
             self._observed.pop(command.lease, None)
@@ -41,12 +41,12 @@
             self._observed[command.lease] = _ObservedLease(lease, now)
 
     def expiry_commands(self, now: float, state_machine: LeaseStateMachine) -> list[Command]:
-        """The commands that expire the leases that have run out."""
+        """The commands that end the expired leases."""
         commands = []
         for name, lease in state_machine.leases.items():
             observed = self._observed.setdefault(name, _ObservedLease(lease, now))
             max_age = lease.ttl * (1 + CLOCK_RATE_ERROR_FRACTION)
-            if observed.lease == lease and now - observed.since > max_age:
+            if observed.lease == lease and now - observed.observed_at > max_age:
                 commands.append(
                     Command(CommandKind.EXPIRE, name, token=lease.token, renewal_index=lease.renewal_index)
                 )
--- a/stalltiller/leases/fencing.py
+++ b/stalltiller/leases/fencing.py
@@ -1,4 +1,4 @@
-"""Fencing: rejects effects of a lease's earlier holders.
+"""Fencing: rejects the effects of a lease's earlier holders.
 
 Source: Kleppmann, "How to do distributed locking".
 """
@@ -12,12 +12,12 @@
 
 @dataclass(slots=True)
 class FencingTokenGuard:
-    """Stands in front of whatever executes effects under one lease; tokens grow with each grant."""
+    """Checks the tokens of one lease's effects before execution; each grant has a higher token."""
 
     newest_token: int = NO_TOKEN
 
     def accept(self, token: int) -> bool:
-        """Whether an effect may be executed: no effect of a newer grant was accepted before."""
+        """Whether an effect may be executed: no effect with a higher token has been accepted."""
         if token < self.newest_token or token <= NO_TOKEN:
             return False
         self.newest_token = token
--- a/stalltiller/leases/holder.py
+++ b/stalltiller/leases/holder.py
@@ -1,4 +1,4 @@
-"""One lease from the point of view of the client that wants to hold it."""
+"""One lease as seen by the client that tries to hold it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class LeaseHolder:
-    """Knows by its own clock whether it holds a lease; times and `ttl` are in seconds."""
+    """Determines by its own clock whether it holds a lease; times and `ttl` are in seconds."""
 
     lease: str
     ttl: float
@@ -26,10 +26,10 @@
         return self.token > NO_TOKEN and now < self.valid_until
 
     def handle_response(self, sent_at: float, token: int) -> None:
-        """An acquire or a renewal sent at `sent_at` was answered; the lease is valid from that time on.
+        """Handle the response to an acquire or a renewal; the lease is valid from `sent_at` on.
 
-        The response to a request sent before the release is ignored: a delayed renewal must not bring back a
-        lease that was released meanwhile.
+        The response to a command sent before the release is ignored: a delayed renewal must not restore a
+        lease that has been released in the meantime.
         """
         if sent_at <= self.released_at:
             return
@@ -40,7 +40,7 @@
     def release(self, now: float) -> int:
         """Stop holding the lease, and return its token for the release command.
 
-        It must be called before that command is sent.
+        Call it before that command is sent.
         """
         token = self.token
         self.token = NO_TOKEN
--- a/stalltiller/leases/messages.py
+++ b/stalltiller/leases/messages.py
@@ -1,6 +1,6 @@
 """The log entries and the messages that Raft voters exchange: immutable values without behaviour.
 
-The names are those of the Raft papers; `codec` gives them their form on the wire.
+The names are those of the Raft papers; `codec` encodes them.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogEntry:
-    """One entry of the replicated log; the entry that begins a leader's term has no command."""
+    """One entry of the replicated log; the first entry of a leader's term has no command."""
 
     term: int
     command: object = None
@@ -18,11 +18,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestVote:
-    """Asks for a vote in the election of `term`.
+    """Requests a vote in the election of `term`.
 
-    With `is_pre_vote` it asks whether the vote would be granted; nobody's term changes.  With
-    `is_leadership_transfer` the leader itself has asked for the election, so a voter that has just heard from
-    that leader grants its vote nevertheless.
+    With `is_pre_vote` it only checks whether the vote would be granted; no voter's term changes.  With
+    `is_leadership_transfer` the leader itself has requested the election, so a voter grants its vote even if
+    it has just received a message from that leader.
     """
 
     term: int
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AppendEntries:
-    """The leader's entries after `previous_index`, and its commit index; without entries a heartbeat."""
+    """The leader's entries after `previous_index` and its commit index; without entries, a heartbeat."""
 
     term: int
     previous_index: int
@@ -57,7 +57,7 @@
     """Whether the entries were appended.
 
     `match_index` is the last index at which the follower's log is known to agree with the leader's; after a
-    failure it is the index from which the leader may try again.
+    failure it is the index after which the leader may retry.
     """
 
     term: int
@@ -69,7 +69,7 @@
 class InstallSnapshot:
     """A chunk of the snapshot that replaces all entries up to `snapshot_index`.
 
-    A leader sends it to a follower whose next entry it has already compacted.  `offset` is the position of
+    A leader sends it if it has already compacted the follower's next entry.  `offset` is the position of
     `data` in the snapshot and `total_bytes` the snapshot's size, both in bytes.
     """
 
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimeoutNow:
-    """The leader transfers its leadership: the receiver has its whole log and starts an election at once."""
+    """Transfers the leadership: the receiver has the whole log and immediately starts an election."""
 
     term: int
 
--- a/stalltiller/leases/raft.py
+++ b/stalltiller/leases/raft.py
@@ -1,7 +1,7 @@
 """Consensus on a log of commands: one Raft voter without I/O and without a clock.
 
-Each method takes the time and returns the actions that the voter must execute in order; what follows a
-`PersistState` or a `PersistSnapshot` must wait until that is durable.
+Each method takes the time and returns the actions that the voter must execute in order; an action after a
+`PersistState` or a `PersistSnapshot` must wait until that one is durable.
 
 Source: Ongaro, Ousterhout, "In Search of an Understandable Consensus Algorithm"; pre-vote, check-quorum,
 snapshots and leadership transfer from Ongaro's thesis (9.6, 6.2, 5, 3.10).
@@ -30,9 +30,9 @@
 
 
 class Raft:
-    """One voter, started from what its disk held.
+    """One voter, started from its persisted state.
 
-    A voter that has lost its disk must not come back under its old name: it could vote twice in a term.
+    A voter that has lost its disk must not restart under its old name: it could vote twice in a term.
     """
 
     def __init__(
@@ -103,14 +103,14 @@
 
     # --- Events ---------------------------------------------------------------------------------------
     def tick(self, now: float) -> list[Action]:
-        """Do what is due: a leader's heartbeats, or an election if no leader is heard."""
+        """Handle a due timer: a leader sends heartbeats or steps down, another voter starts an election."""
         self._state.now = now
         if now >= self._state.timer_at:
             if self._state.role is not Role.LEADER:
                 self._elections.start_pre_vote()
             elif self._replication.has_quorum_contact():
                 self._replication.broadcast()
-            else:  # partitioned: the others may have elected another leader
+            else:  # partitioned: the other voters may have elected a new leader
                 self._state.become_follower(self._state.term)
         return self._state.drain_actions()
 
@@ -128,13 +128,13 @@
         return index, self._state.drain_actions()
 
     def compact(self, now: float, index: int, snapshot: bytes) -> list[Action]:
-        """Replace the entries up to a committed index by the state machine's state after them."""
+        """Replace the entries up to a committed index with the state machine's state after them."""
         self._state.now = now
         self._snapshots.compact(index, snapshot)
         return self._state.drain_actions()
 
     def step(self, now: float, sender: str, message: RaftMessage) -> list[Action]:
-        """Handle a message of another voter."""
+        """Handle a message from another voter."""
         self._state.now = now
         if sender not in self._state.voters:
             return []
@@ -144,20 +144,20 @@
         if message.term > self._state.term and not _is_granted_pre_vote(message):
             self._state.become_follower(message.term)
         if message.term >= self._state.term:
-            self._handle_current(sender, message)
-        elif isinstance(message, AppendEntries | InstallSnapshot):  # a former leader: tell it the term
+            self._handle_current_message(sender, message)
+        elif isinstance(message, AppendEntries | InstallSnapshot):  # a former leader must learn the term
             self._state.send(sender, AppendEntriesResponse(self._state.term, False, 0))
         return self._state.drain_actions()
 
     def transfer_leadership(self, now: float) -> list[Action]:
-        """Transfer the leadership, if this voter leads, as soon as another one has the whole log."""
+        """Transfer the leadership, if this voter leads, as soon as another voter has the whole log."""
         self._state.now = now
         self._state.transferring_leadership = self._state.role is Role.LEADER
         self._replication.continue_leadership_transfer()
         return self._state.drain_actions()
 
-    def _handle_current(self, sender: str, message: RaftMessage) -> None:
-        """Handle a message that is not of an earlier term."""
+    def _handle_current_message(self, sender: str, message: RaftMessage) -> None:
+        """Handle a message whose term is not outdated."""
         if isinstance(message, RequestVoteResponse):
             self._elections.handle_response(sender, message)
         elif isinstance(message, AppendEntries):
@@ -171,5 +171,5 @@
 
 
 def _is_granted_pre_vote(message: RaftMessage) -> bool:
-    """Whether a message grants a pre-vote: it carries the term of an election that hasn't begun."""
+    """Whether a message grants a pre-vote; its term is that of an election that has not started."""
     return isinstance(message, RequestVoteResponse) and message.is_pre_vote and message.is_granted
--- a/stalltiller/leases/raft_state.py
+++ b/stalltiller/leases/raft_state.py
@@ -1,7 +1,7 @@
 """The state of one Raft voter, shared by its elections, its replication and its snapshots.
 
 `Raft` owns the only instance.  The operations here are those that more than one of these concerns needs;
-they collect the actions for the voter in the order in which they must be executed.
+they collect the actions that the voter must execute, in order.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class PersistentState(NamedTuple):
-    """What a voter has on its disk besides the snapshot: its term, its vote and the later entries."""
+    """A voter's persisted state besides the snapshot: its term, its vote and the later entries."""
 
     term: int = 0
     voted_for: str | None = None
@@ -45,7 +45,8 @@
 class RaftTimeouts:
     """Durations in seconds.
 
-    A voter starts an election if it hears from no leader for a random time between `election` and twice that.
+    A voter that receives no message from a leader for a random time between `election` and twice that
+    duration starts an election.
     """
 
     heartbeat: float = 0.1
@@ -53,7 +54,7 @@
 
 
 class SnapshotProgress(NamedTuple):
-    """How much of the snapshot up to an index a follower has confirmed."""
+    """How many bytes of the snapshot up to `snapshot_index` a follower has confirmed."""
 
     snapshot_index: int = 0
     bytes_received: int = 0
@@ -61,7 +62,7 @@
 
 @dataclass(slots=True)
 class FollowerProgress:
-    """What a leader knows of one follower."""
+    """A leader's knowledge of one follower's log and snapshot."""
 
     next_index: int
     match_index: int = 0
@@ -73,7 +74,7 @@
 class RaftState:
     """Persistent and volatile state of one voter; times are in seconds on the caller's clock.
 
-    `log` holds the entries after `snapshot_index`; `snapshot` includes all entries up to there.
+    `log` holds the entries after `snapshot_index`; `snapshot` includes all entries up to it.
     """
 
     name: str
@@ -123,12 +124,12 @@
         return self.log[index - self.snapshot_index - 1].term
 
     def is_quorum(self, count: int) -> bool:
-        """Whether so many voters are a majority."""
+        """Whether `count` voters are a majority."""
         return count > len(self.voters) // 2
 
     # --- Roles and timers -----------------------------------------------------------------------------
     def become_follower(self, term: int) -> None:
-        """Step down, or follow a newer term whose leader isn't known yet."""
+        """Step down, or enter a newer term whose leader isn't known yet."""
         if term > self.term:
             self.term = term
             self.voted_for = None
@@ -138,7 +139,7 @@
         self.reset_election_timer()
 
     def observe_leader(self, leader: str) -> None:
-        """Note a message of the leader of the current term."""
+        """Record contact with the leader of the current term."""
         if self.role is not Role.FOLLOWER:
             self.become_follower(self.term)
         self.leader = leader
@@ -146,19 +147,19 @@
         self.reset_election_timer()
 
     def reset_election_timer(self) -> None:
-        """Wait for a new random election timeout."""
+        """Restart the election timer with a new random timeout."""
         self.timer_at = self.now + self.timeouts.election * (1 + self.rng.random())
 
     # --- The log --------------------------------------------------------------------------------------
     def append(self, entries: Iterable[LogEntry], last_retained_index: int) -> None:
-        """Append entries after an index, in place of whatever follows it."""
+        """Append entries after `last_retained_index`; existing entries after it are replaced."""
         del self.log[last_retained_index - self.snapshot_index :]
         entries = tuple(entries)
         self.log += entries
         self._actions.append(PersistState(self.term, self.voted_for, last_retained_index, entries))
 
     def persist_vote(self) -> None:
-        """Persist the term and the vote; the log stays as it is."""
+        """Persist the term and the vote; the log does not change."""
         self._actions.append(PersistState(self.term, self.voted_for, self.last_index, ()))
 
     def commit_through(self, index: int) -> None:
@@ -170,15 +171,15 @@
 
     # --- Actions --------------------------------------------------------------------------------------
     def send(self, receiver: str, message: RaftMessage) -> None:
-        """Have a message sent to another voter."""
+        """Add the action that sends a message to another voter."""
         self._actions.append(SendMessage(receiver, message))
 
     def add_actions(self, *actions: Action) -> None:
-        """Have the voter execute these actions."""
+        """Add actions for the voter to execute."""
         self._actions += actions
 
     def drain_actions(self) -> list[Action]:
-        """The actions collected since the last call, in order."""
+        """Return and clear the collected actions, in order."""
         actions = self._actions
         self._actions = []
         return actions
--- a/stalltiller/leases/replication.py
+++ b/stalltiller/leases/replication.py
@@ -1,6 +1,6 @@
-"""Raft's log replication: what a leader sends its followers, what a follower appends, when entries commit.
+"""Raft's log replication: the leader's messages to its followers, their appends, and the commit index.
 
-Source: Ongaro's thesis, sections 3.5, 3.6 and, for the transfer of leadership, 3.10.
+Source: Ongaro's thesis, sections 3.5, 3.6 and, for leadership transfer, 3.10.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from stalltiller.leases.snapshots import SnapshotTransfer
 
 MAX_ENTRIES_PER_MESSAGE = 64
-QUORUM_CHECK_ELECTION_TIMEOUTS = 2  # a leader that hears from no quorum for so many of them steps down
+QUORUM_CHECK_ELECTION_TIMEOUTS = 2  # a leader without responses from a quorum for this long steps down
 
 
 class Replication:
@@ -28,7 +28,7 @@
 
     # --- The leader's side ----------------------------------------------------------------------------
     def become_leader(self) -> None:
-        """Begin to lead; the term's first entry commits what earlier terms have left."""
+        """Become the leader; the commit of the term's first entry also commits those of earlier terms."""
         state = self._state
         state.role = Role.LEADER
         state.leader = state.name
@@ -41,7 +41,7 @@
         self.broadcast()
 
     def has_quorum_contact(self) -> bool:
-        """Whether a majority, this leader included, has responded lately."""
+        """Whether a majority, this leader included, has responded recently."""
         state = self._state
         max_silence = QUORUM_CHECK_ELECTION_TIMEOUTS * state.timeouts.election
         responding = sum(
@@ -58,7 +58,7 @@
         self._advance_commit_index()
 
     def handle_response(self, sender: str, response: AppendEntriesResponse | InstallSnapshotResponse) -> None:
-        """Record a follower's progress and send it what it lacks."""
+        """Record a follower's progress and send it the entries that it lacks."""
         state = self._state
         progress = state.followers.get(sender)
         if state.role is not Role.LEADER or progress is None:
@@ -79,7 +79,10 @@
         self.continue_leadership_transfer()
 
     def continue_leadership_transfer(self) -> None:
-        """Transfer the leadership, if wanted, to a follower with the whole log; no other could win."""
+        """Perform a requested leadership transfer once a follower has the whole log.
+
+        A follower with a shorter log might not be elected.
+        """
         state = self._state
         up_to_date = [
             voter for voter, progress in state.followers.items() if progress.match_index == state.last_index
@@ -91,7 +94,7 @@
     def _send_entries(self, follower: str) -> None:
         state = self._state
         previous_index = state.followers[follower].next_index - 1
-        if previous_index < state.snapshot_index:  # the entries it lacks are compacted
+        if previous_index < state.snapshot_index:  # the entries that the follower lacks are compacted
             self._snapshots.send_chunk(follower)
             return
         start = previous_index - state.snapshot_index
@@ -102,19 +105,22 @@
         state.send(follower, message)
 
     def _advance_commit_index(self) -> None:
-        """Commit what a majority has, if it is of this term: earlier terms' entries may still be replaced."""
+        """Commit the entries that a majority has, if the last of them is of this term.
+
+        Entries of earlier terms alone may still be replaced.
+        """
         state = self._state
         if state.role is not Role.LEADER:
             return
-        follower_matches = (progress.match_index for progress in state.followers.values())
-        matches = sorted([state.last_index, *follower_matches], reverse=True)
-        majority_index = matches[len(state.voters) // 2]
+        follower_match_indices = (progress.match_index for progress in state.followers.values())
+        match_indices = sorted([state.last_index, *follower_match_indices], reverse=True)
+        majority_index = match_indices[len(state.voters) // 2]
         if majority_index > state.commit_index and state.term_at(majority_index) == state.term:
             state.commit_through(majority_index)
 
     # --- The follower's side --------------------------------------------------------------------------
     def handle_append_entries(self, sender: str, message: AppendEntries) -> None:
-        """Append a leader's entries if the log agrees with the leader's before them."""
+        """Append a leader's entries if the log before them matches the leader's."""
         state = self._state
         state.observe_leader(sender)
         previous_index = message.previous_index
@@ -134,11 +140,11 @@
         if message.previous_index > state.last_index:
             return False
         if message.previous_index < state.snapshot_index:
-            return True  # compacted entries are committed, so they are the leader's, too
+            return True  # compacted entries are committed, so the leader has them, too
         return state.term_at(message.previous_index) == message.previous_term
 
     def _count_known_entries(self, message: AppendEntries) -> int:
-        """How many of a message's entries the log has already."""
+        """How many of a message's entries the log already contains."""
         state = self._state
         previous_index = message.previous_index
         known = min(max(0, state.snapshot_index - previous_index), len(message.entries))
--- a/stalltiller/leases/snapshots.py
+++ b/stalltiller/leases/snapshots.py
@@ -14,20 +14,20 @@
 )
 from stalltiller.leases.raft_state import RaftState, Snapshot
 
-DEFAULT_SNAPSHOT_CHUNK_BYTES = 900  # one message with its headers fits in one datagram
+DEFAULT_SNAPSHOT_CHUNK_BYTES = 900  # a chunk with its message and packet headers fits in one datagram
 
 
 class SnapshotTransfer:
-    """Takes snapshots of a voter's log, sends them in chunks and installs those that a leader sends."""
+    """Compacts a voter's log to snapshots, sends them in chunks and installs those that a leader sends."""
 
     def __init__(self, state: RaftState, chunk_bytes: int) -> None:
         self._state = state
         self._chunk_bytes = chunk_bytes
-        self._incoming_index = 0  # of the snapshot that a leader is sending
+        self._incoming_index = 0  # last index of the snapshot that a leader is sending
         self._incoming_data = b""
 
     def compact(self, index: int, snapshot: bytes) -> None:
-        """Replace the entries up to a committed index by the state machine's state after them."""
+        """Replace the entries up to a committed index with the state machine's state after them."""
         state = self._state
         if not state.snapshot_index < index <= state.commit_index:
             return
@@ -36,7 +36,7 @@
         state.add_actions(PersistSnapshot(index, term, snapshot))
 
     def send_chunk(self, follower: str) -> None:
-        """Send a follower the part of the snapshot that follows what it has confirmed."""
+        """Send a follower the next chunk of the snapshot after the bytes that it has confirmed."""
         state = self._state
         progress = state.followers[follower].snapshot
         offset = progress.bytes_received if progress.snapshot_index == state.snapshot_index else 0
@@ -57,23 +57,23 @@
         if message.snapshot_index <= state.commit_index:
             state.send(sender, AppendEntriesResponse(state.term, True, message.snapshot_index))
             return
-        self._receive(message)
+        self._receive_chunk(message)
         bytes_received = len(self._incoming_data)
         if bytes_received < message.total_bytes:
             state.send(sender, InstallSnapshotResponse(state.term, message.snapshot_index, bytes_received))
             return
-        self._install(Snapshot(message.snapshot_index, message.snapshot_term, self._incoming_data))
+        self._install_snapshot(Snapshot(message.snapshot_index, message.snapshot_term, self._incoming_data))
         state.send(sender, AppendEntriesResponse(state.term, True, message.snapshot_index))
 
-    def _receive(self, message: InstallSnapshot) -> None:
+    def _receive_chunk(self, message: InstallSnapshot) -> None:
         if self._incoming_index != message.snapshot_index:
             self._incoming_data = b""
         self._incoming_index = message.snapshot_index
         if message.offset == len(self._incoming_data):
             self._incoming_data += message.data
 
-    def _install(self, snapshot: Snapshot) -> None:
-        """Install a snapshot; entries after it stay if the log agrees with its last entry."""
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
+        """Install a snapshot; later entries stay if the log contains the snapshot's last entry."""
         self._incoming_index = 0
         self._incoming_data = b""
         state = self._state
--- a/stalltiller/leases/state_machine.py
+++ b/stalltiller/leases/state_machine.py
@@ -1,9 +1,9 @@
-"""The replicated state machine: who holds which lease, decided by the log alone.
+"""The replicated state machine: which client holds which lease, decided by the log alone.
 
-No clock enters it, so all voters come to the same state.  Time matters in two other places: the holder stops
-by its own clock before the lease's duration is over (`holder`), and the leader has a lease expired by a
-command on the log only after it is (`expiry`).  A lease's token is the log index of its grant, so tokens grow
-and whatever executes an effect can reject those of an earlier holder (`fencing`).
+It uses no clock, so all voters reach the same state.  Time matters in two other places: the holder stops by
+its own clock before the lease's duration is over (`holder`), and the leader proposes the command that expires
+the lease only after that duration (`expiry`).  A lease's token is the log index of its grant, so tokens
+increase, and the receiver of effects can reject those of an earlier holder (`fencing`).
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-MAX_SESSIONS = 10000  # bounds a voter's memory and its snapshot; the least recently used are forgotten
+MAX_SESSIONS = 10000  # bounds a voter's memory and its snapshot; the least recently used are removed
 NO_TOKEN = 0  # the response to a client that does not hold the lease
 
 
@@ -22,17 +22,17 @@
     ACQUIRE = "acquire"
     RENEW = "renew"
     RELEASE = "release"
-    EXPIRE = "expire"  # of the leader alone
+    EXPIRE = "expire"  # proposed by the leader only
 
 
 @dataclass(slots=True, frozen=True)
 class Command:
-    """A change of one lease that a client, or for an expiry the leader, proposes.
+    """A change of one lease, proposed by a client or, for an expiry, by the leader.
 
-    `ttl` is the lease's duration in seconds, of an acquire and a renewal.  `token` names the grant that is
-    renewed, released or expired.  `renewal_index` of an expiry is the last renewal that the leader knew of.
-    A client numbers its commands by session: a duplicate is not executed but answered alike.
-    A kind that this version does not know stays as it is, so that the entry is the same on every voter.
+    An acquire and a renewal have a `ttl`, the lease's duration in seconds.  `token` identifies the grant that
+    is renewed, released or expired.  `renewal_index` of an expiry is the last renewal known to the leader.
+    A client numbers its commands by session: a duplicate is not executed again and gets the same response.
+    An unknown `kind` stays a string, so that the entry is the same on every voter.
     """
 
     kind: CommandKind | str
@@ -49,7 +49,7 @@
 class Lease:
     """A granted lease: `token` is the log index of its grant, `renewal_index` that of its last renewal.
 
-    `ttl` is the duration in seconds for which it stays without a renewal.
+    The lease expires `ttl` seconds after its grant or its last renewal.
     """
 
     holder: str
@@ -59,7 +59,7 @@
 
 
 class SessionResult(NamedTuple):
-    """The last command of a client's session and the token that answered it."""
+    """The number of a session's last command and the token that was returned for it."""
 
     number: int
     token: int
@@ -67,21 +67,21 @@
 
 @dataclass(slots=True)
 class LeaseStateMachine:
-    """All leases and the last results by session; the session used last stands at the end."""
+    """All leases and the last results by session; the most recently used session is last."""
 
     leases: dict[str, Lease] = field(default_factory=dict)
     sessions: dict[str, SessionResult] = field(default_factory=dict)
 
     def apply(self, index: int, command: Command) -> int:
-        """Execute a committed command; called in the log's order on every voter.
+        """Execute a committed command; every voter calls this in log order.
 
         Returns the token that the command's client holds now, `NO_TOKEN` if it holds none.
         """
         if not command.session:
             return self._execute(index, command)
-        last = self.sessions.get(command.session)
-        if last is not None and command.number <= last.number:
-            return last.token if command.number == last.number else NO_TOKEN
+        last_result = self.sessions.get(command.session)
+        if last_result is not None and command.number <= last_result.number:
+            return last_result.token if command.number == last_result.number else NO_TOKEN
         token = self._execute(index, command)
         self._record_result(command, token)
         return token
@@ -104,7 +104,7 @@
         if command.kind == CommandKind.RENEW:
             self.leases[command.lease] = replace(lease, renewal_index=index)
             return lease.token
-        # A renewal that stands on the log before this expiry was granted: its holder goes on.
+        # A renewal that precedes the expiry in the log, unknown to the leader, was granted: the lease stays.
         if command.kind == CommandKind.RELEASE or lease.renewal_index == command.renewal_index:
             del self.leases[command.lease]
         return NO_TOKEN
--- a/stalltiller/leases/store.py
+++ b/stalltiller/leases/store.py
@@ -1,4 +1,4 @@
-"""A voter's term, vote, log and snapshot on its disk (lmdb), durable before the voter answers anything."""
+"""A voter's term, vote, log and snapshot on its disk (lmdb), durable before the voter sends a response."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from stalltiller.leases.messages import LogEntry
 from stalltiller.leases.raft_state import PersistentState, Snapshot
 
-MAX_STORE_BYTES = 256 * 1024 * 1024  # far above a compacted log; lmdb only reserves the address space
+MAX_STORE_BYTES = 256 * 1024 * 1024  # far above a compacted log's size; lmdb only reserves the address space
 _DATA_FILE = "data.mdb"
 
 # The keys of the store.  Old versions read them, so they must not change.
@@ -37,16 +37,16 @@
 
 
 class VoterStoreMissingError(VoterStoreError):
-    """There is no store: a voter without its disk must not vote, since nobody knows its former votes."""
+    """The store is missing: such a voter must not vote, since its earlier votes are unknown."""
 
     def __init__(self, path: str) -> None:
-        super().__init__(path, "no store of a voter")
+        super().__init__(path, "voter store not found")
 
 
 def create_voter_store(folder: str, name: str) -> None:
-    """Create the store of the voter `name`, once in its life; raises VoterStoreError if there is one."""
+    """Create the store of the voter `name`, once in its lifetime; raises VoterStoreError if one exists."""
     if (Path(folder) / _DATA_FILE).exists():
-        raise VoterStoreError(folder, "there is a store already")
+        raise VoterStoreError(folder, "a voter store already exists")
     try:
         Path(folder).mkdir(parents=True, exist_ok=True)
         with (
@@ -59,7 +59,7 @@
 
 
 class VoterStore:
-    """One voter's store.  Writes return once they are durable: lmdb syncs each transaction."""
+    """One voter's store.  A write returns once it is durable: lmdb syncs each transaction."""
 
     def __init__(self, folder: str, name: str) -> None:
         """Open the store of the voter `name`.
@@ -76,16 +76,16 @@
         except lmdb.Error as error:
             raise VoterStoreError(folder, str(error)) from error
         if owner != name:
-            raise VoterStoreError(folder, f"made for {owner!r}")
+            raise VoterStoreError(folder, f"the store was made for {owner!r}, not for {name!r}")
 
     def load_snapshot(self) -> Snapshot:
-        """The snapshot persisted last, an empty one before the first."""
+        """The last persisted snapshot, an empty one if there is none."""
         with self._environment.begin() as transaction:
             snapshot = pb.Snapshot.FromString(bytes(transaction.get(_SNAPSHOT_KEY, b"")))
         return Snapshot(snapshot.index, snapshot.term, snapshot.state)
 
     def load_state(self) -> PersistentState:
-        """The term, the vote and the entries after the snapshot, as they were persisted last."""
+        """The last persisted term, vote and entries after the snapshot."""
         term = 0
         voted_for = None
         with self._environment.begin() as transaction:
@@ -97,18 +97,18 @@
         return PersistentState(term, voted_for, entries)
 
     def persist_state(self, action: PersistState) -> None:
-        """Make a state durable; raises VoterStoreError, and then the voter must stop."""
+        """Make a state durable; if this raises VoterStoreError, the voter must stop."""
         vote = (action.voted_for or "").encode()
-        with self._write() as transaction:
+        with self._write_transaction() as transaction:
             transaction.put(_TERM_AND_VOTE_KEY, action.term.to_bytes(_TERM_BYTES, "big") + vote)
             _delete_entries(transaction, action.last_retained_index + 1, None)
             for index, entry in enumerate(action.entries, action.last_retained_index + 1):
                 transaction.put(_entry_key(index), encode_entry(entry))
 
     def persist_snapshot(self, action: PersistSnapshot) -> None:
-        """Make a snapshot durable in place of its entries; raises VoterStoreError as `persist_state` does."""
+        """Make a snapshot durable and delete the entries that it replaces; raises like `persist_state`."""
         snapshot = pb.Snapshot(index=action.index, term=action.term, state=action.state)
-        with self._write() as transaction:
+        with self._write_transaction() as transaction:
             transaction.put(_SNAPSHOT_KEY, snapshot.SerializeToString())
             _delete_entries(transaction, 0, None if action.discard_log else action.index)
 
@@ -117,7 +117,7 @@
         self._environment.close()
 
     @contextmanager
-    def _write(self) -> Iterator[lmdb.Transaction]:
+    def _write_transaction(self) -> Iterator[lmdb.Transaction]:
         """A transaction that is durable when the block ends."""
         try:
             with self._environment.begin(write=True) as transaction:
@@ -141,7 +141,7 @@
 
 
 def _delete_entries(transaction: lmdb.Transaction, first_index: int, last_index: int | None) -> None:
-    """Delete the entries from one index to another, or to the end of the log."""
+    """Delete the entries from `first_index` to `last_index`, or to the log's end if that is None."""
     cursor = transaction.cursor()
     if not cursor.set_range(_entry_key(first_index)):
         return
--- a/stalltiller/leases/voter.py
+++ b/stalltiller/leases/voter.py
@@ -1,4 +1,4 @@
-"""One voter at work: runs Raft and the lease state machine on the event loop, the disk and the network."""
+"""One voter: runs Raft and the lease state machine on the event loop, the disk and the network."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 from stalltiller.leases.state_machine import Command, Lease
 from stalltiller.leases.store import VoterStore
 
-MAX_QUEUED_MESSAGES = 1000  # further messages are dropped, as the network may drop them
-EXPIRY_CHECK_INTERVAL_SECONDS = 0.05  # short against a lease, so an expiry adds little to its duration
+MAX_QUEUED_MESSAGES = 1000  # further messages are dropped, which Raft tolerates like a loss in the network
+EXPIRY_CHECK_INTERVAL_SECONDS = 0.05  # short compared with a lease, so expiry is delayed little
 DEFAULT_MAX_LOG_ENTRIES = 2000
 
 Log = Callable[..., None]
 
 
 class _PendingCommand(NamedTuple):
-    """A command on the log whose client awaits the response."""
+    """A command in the log whose client awaits the response."""
 
     term: int
     client: str
@@ -59,7 +59,7 @@
     leases: dict[str, Lease]
 
     def to_json(self) -> dict[str, object]:
-        """The form in `GET /_fleet/leases`; its keys are fixed."""
+        """The JSON form in the response to `GET /_fleet/leases`; its keys must not change."""
         return {
             "role": self.role.value,
             "term": self.term,
@@ -76,11 +76,11 @@
 
 
 class Voter:
-    """Runs a `Raft` and the lease state machine on it.
+    """Runs a `Raft` and applies its committed entries to the lease state machine.
 
-    All messages go through one queue and one task, so whatever follows a persisting action waits for the disk
-    while the event loop does not: the disk has a thread.  If the disk fails, the voter stops and answers
-    nothing more.
+    One task handles all messages from one queue, so the actions after a persisting action wait for the disk.
+    Disk writes run in a thread and do not block the event loop.  If the disk fails, the voter stops and sends
+    no more responses.
     """
 
     def __init__(
@@ -93,7 +93,10 @@
         timeouts: RaftTimeouts | None = None,
         max_log_entries: int = DEFAULT_MAX_LOG_ENTRIES,
     ) -> None:
-        """Start the voter from its store, which it owns; `max_log_entries` applied, it takes a snapshot."""
+        """Start the voter from its store, which it owns.
+
+        It takes a snapshot after `max_log_entries` applied entries.
+        """
         self.name = name
         self._store = store
         self._send = send
@@ -110,17 +113,20 @@
         self._inbox: asyncio.Queue[tuple[str, Message]] = asyncio.Queue(MAX_QUEUED_MESSAGES)
         self._pending: dict[int, _PendingCommand] = {}  # by log index
         self._is_leading = False
-        self._wants_leadership_transfer = False
+        self._leadership_transfer_requested = False
         self._task = self._loop.create_task(self._run())
 
     def handle_message(self, sender: str, message: Message) -> None:
-        """Queue a message of another voter or a client."""
+        """Queue a message from another voter or a client."""
         if not self._inbox.full():
             self._inbox.put_nowait((sender, message))
 
     def transfer_leadership(self) -> None:
-        """This initiator stops or leaves: if it leads, transfer that once all queued messages are handled."""
-        self._wants_leadership_transfer = True
+        """Transfer the leadership, if this voter leads, once all queued messages are handled.
+
+        Call it before the initiator shuts down or leaves the fleet.
+        """
+        self._leadership_transfer_requested = True
 
     def status(self) -> VoterStatus:
         """The voter's state for operators."""
@@ -145,21 +151,21 @@
         try:
             while True:
                 await self._run_once()
-        except OSError as error:  # what this voter has promised may not be durable
+        except OSError as error:  # the state that responses rely on may not be durable
             self._log("lease_voter_stopped", error=str(error))
 
     async def _run_once(self) -> None:
-        """Handle one message or the timer, then a wanted leadership transfer and expired leases."""
-        timer_in = max(0.0, self.raft.timer_at - self._loop.time())
+        """Handle one message or the timer, then a requested leadership transfer and expired leases."""
+        seconds_to_timer = max(0.0, self.raft.timer_at - self._loop.time())
         try:
-            async with asyncio.timeout(min(EXPIRY_CHECK_INTERVAL_SECONDS, timer_in)):
+            async with asyncio.timeout(min(EXPIRY_CHECK_INTERVAL_SECONDS, seconds_to_timer)):
                 sender, message = await self._inbox.get()
         except TimeoutError:
             await self._execute(self.raft.tick(self._loop.time()))
         else:
             await self._process_message(sender, message)
-        if self._wants_leadership_transfer and self._inbox.empty():
-            self._wants_leadership_transfer = False
+        if self._leadership_transfer_requested and self._inbox.empty():
+            self._leadership_transfer_requested = False
             await self._execute(self.raft.transfer_leadership(self._loop.time()))
         if self._is_leading:
             await self._expire_leases()
@@ -187,15 +193,15 @@
         await self._execute(actions)
 
     async def _execute(self, actions: list[Action]) -> None:
-        """Execute actions in order, each one completely before the next one."""
+        """Execute actions in order, each one after the previous one has completed."""
         for action in actions:
-            await self._execute_one(action)
+            await self._execute_action(action)
         if self.raft.commit_index - self.raft.snapshot_index >= self._max_log_entries:
             await self._take_snapshot()
         if (self.raft.role is Role.LEADER) is not self._is_leading:
-            self._change_leadership()
+            self._handle_leadership_change()
 
-    async def _execute_one(self, action: Action) -> None:
+    async def _execute_action(self, action: Action) -> None:
         if isinstance(action, PersistState):
             await self._loop.run_in_executor(None, self._store.persist_state, action)
         elif isinstance(action, PersistSnapshot):
@@ -209,19 +215,19 @@
             self._apply(action)
 
     async def _take_snapshot(self) -> None:
-        """Compact the log; every committed entry has been applied before."""
+        """Compact the log; all committed entries have been applied by now."""
         snapshot = encode_state_machine(self.state_machine)
         await self._execute(self.raft.compact(self._loop.time(), self.raft.commit_index, snapshot))
 
-    def _change_leadership(self) -> None:
-        """This voter leads from now on, or no longer."""
+    def _handle_leadership_change(self) -> None:
+        """Handle this voter's election as the leader, or the end of its leadership."""
         self._is_leading = not self._is_leading
         self._log("lease_leader_elected" if self._is_leading else "lease_leader_deposed", term=self.raft.term)
         self._expiry_tracker.start(self._loop.time(), self.state_machine)
         self._pending.clear()
 
     def _apply(self, action: ApplyEntry) -> None:
-        """Apply a committed command, and answer its client if it was proposed here."""
+        """Apply a committed command, and respond to its client if this voter proposed it."""
         command = action.entry.command
         if not isinstance(command, Command):
             return  # the first entry of a leader's term
@@ -229,13 +235,13 @@
         token = self.state_machine.apply(action.index, command)
         self._expiry_tracker.observe(self._loop.time(), self.state_machine, command)
         if self._is_leading:
-            self._log_change(command, lease_before)
+            self._log_lease_change(command, lease_before)
         pending = self._pending.pop(action.index, None)
         if pending is not None and pending.command == command and pending.term == action.entry.term:
             self._send(pending.client, CommandResponse(command.session, command.number, token))
 
-    def _log_change(self, command: Command, lease_before: Lease | None) -> None:
-        """Log a grant or the end of a lease; a renewal is neither."""
+    def _log_lease_change(self, command: Command, lease_before: Lease | None) -> None:
+        """Log that a lease was granted or has ended; renewals are not logged."""
         lease_after = self.state_machine.leases.get(command.lease)
         token_before = None if lease_before is None else lease_before.token
         token_after = None if lease_after is None else lease_after.token
--- a/tests/test_lease_store.py
+++ b/tests/test_lease_store.py
@@ -50,24 +50,24 @@
         AppendEntries(4, 8, 3, (LogEntry(4), LogEntry(4, COMMAND)), 7),
     ],
 )
-def test_each_message_survives_encoding_and_decoding(message):
+def test_each_message_is_unchanged_by_encoding_and_decoding(message):
     assert codec.decode(codec.encode(message)) == message
 
 
-def test_append_entries_contains_as_many_entries_as_fit_into_a_datagram():
+def test_append_entries_carries_only_as_many_entries_as_fit_into_a_datagram():
     data = codec.encode(AppendEntries(1, 0, 0, (LogEntry(1, COMMAND),) * 64, 0))
     assert len(data) <= codec.MAX_MESSAGE_BYTES and len(codec.decode(data).entries) > 8
 
 
 @given(st.binary(max_size=120))
-def test_decoding_any_bytes_raises_nothing_but_malformed_message_error(data):
+def test_decoding_arbitrary_bytes_raises_only_malformed_message_error(data):
     try:
         codec.decode(data)
     except codec.MalformedMessageError:
         return
 
 
-def test_state_machine_survives_a_snapshot_with_the_newest_session_last():
+def test_state_machine_and_the_order_of_its_sessions_are_restored_from_a_snapshot():
     state_machine = LeaseStateMachine()
     for n in range(50):
         command = Command(CommandKind.ACQUIRE, f"l{n % 7}", f"n{n}", 2.0, session=f"s{n % 9}", number=n)
@@ -82,7 +82,7 @@
     assert codec.decode_state_machine(b"") == LeaseStateMachine()
 
 
-persisted_states = st.lists(
+persist_steps = st.lists(
     st.tuples(
         st.integers(0, 9),
         st.sampled_from([None, "b"]),
@@ -94,32 +94,35 @@
 )
 
 
-@given(persisted_states)
-def test_store_returns_what_was_persisted_last_after_each_reopening(tmp_path_factory, script):
+@given(persist_steps)
+def test_store_returns_the_last_persisted_state_after_each_reopening(tmp_path_factory, steps):
     folder = str(tmp_path_factory.mktemp("voter"))
     create_voter_store(folder, "a")
-    term, vote, log, snapshot_index = 0, None, [], 0
+    term = 0
+    vote = None
+    log = []
+    snapshot_index = 0
     store = VoterStore(folder, "a")
-    for number, (term, vote, length, entries, discard_log) in enumerate(script):
-        length = min(length, len(log))
-        store.persist_state(PersistState(term, vote, snapshot_index + length, tuple(entries)))
-        log = [*log[:length], *entries]
-        if discard_log is not None and log:  # a snapshot of half of the log, or of more than there is
-            included = len(log) + 3 if discard_log else (len(log) + 1) // 2
-            snapshot = Snapshot(snapshot_index + included, 7, b"state %d" % number)
+    for step_index, (term, vote, retained_count, entries, discard_log) in enumerate(steps):
+        retained_count = min(retained_count, len(log))
+        store.persist_state(PersistState(term, vote, snapshot_index + retained_count, tuple(entries)))
+        log = [*log[:retained_count], *entries]
+        if discard_log is not None and log:  # a snapshot of half of the log, or beyond its end
+            included_count = len(log) + 3 if discard_log else (len(log) + 1) // 2
+            snapshot = Snapshot(snapshot_index + included_count, 7, b"state %d" % step_index)
             store.persist_snapshot(PersistSnapshot(*snapshot, discard_log))
             snapshot_index = snapshot.last_index
-            log = [] if discard_log else log[included:]
+            log = [] if discard_log else log[included_count:]
             assert store.load_snapshot() == snapshot
         assert store.load_state() == (term, vote, log)
-        if number % 3 == 2:
+        if step_index % 3 == 2:
             store.close()
             store = VoterStore(folder, "a")
     assert store.load_state() == (term, vote, log)
     store.close()
 
 
-def test_store_that_is_missing_or_of_another_voter_is_not_opened(tmp_path):
+def test_store_that_is_missing_or_belongs_to_another_voter_is_not_opened(tmp_path):
     with pytest.raises(VoterStoreMissingError):
         VoterStore(str(tmp_path / "lost"), "a")
     create_voter_store(str(tmp_path / "kept"), "a")
