--- a/stalltiller/adapters/nvme_association.py
+++ b/stalltiller/adapters/nvme_association.py
@@ -1,7 +1,7 @@
 """A host's association with the controller: its queues, its properties and its keep alive timer.
 
-`NvmeController` owns the associations by controller identifier.  When one queue of an association is lost,
-all of it ends.
+`NvmeController` owns the associations by controller identifier.  The loss of one queue ends the whole
+association.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
     from stalltiller.adapters.nvme_controller import NvmeController
     from stalltiller.adapters.nvme_host_queue import HostQueue
 
-KEEP_ALIVE_GRACE_SECONDS = 1.0  # past the host's own keep alive time-out, for what is on its way
-TIMER_MARGIN_SECONDS = 0.01  # so that the check comes after the time it waits for
+KEEP_ALIVE_GRACE_SECONDS = 1.0  # added to the host's timeout for commands in transit
+TIMER_MARGIN_SECONDS = 0.01  # lets the check run after the expiry time, not just before it
 
 
 class Association:
-    """One host's view of the controller.
+    """The queues and controller properties of one host.
 
-    `keep_alive` is the host's keep alive time-out in seconds, 0 for none.
+    `keep_alive_timeout` is the host's keep alive timeout (KATO) in seconds, 0 for none.
     """
 
-    def __init__(self, controller: NvmeController, controller_id: int, keep_alive: float) -> None:
+    def __init__(self, controller: NvmeController, controller_id: int, keep_alive_timeout: float) -> None:
         self.controller = controller
         self.controller_id = controller_id
-        self.keep_alive = keep_alive
+        self.keep_alive_timeout = keep_alive_timeout
         self.queues: dict[int, HostQueue] = {}
         self.is_enabled = False
         self.is_shut_down = False
@@ -34,12 +34,12 @@
         self._keep_alive_timer: asyncio.TimerHandle | None = None
         self._check_keep_alive()
 
-    def has_commands(self) -> bool:
-        """Return whether commands are in progress."""
+    def has_commands_in_flight(self) -> bool:
+        """Return whether I/O commands are in flight."""
         return any(queue.commands for queue in self.queues.values())
 
     def reset(self) -> None:
-        """Close the I/O queues: the host disables or shuts down the controller.  The admin queue stays."""
+        """Close the I/O queues when the host disables or shuts down the controller; keep the admin queue."""
         for queue_id in [queue_id for queue_id in self.queues if queue_id]:
             queue = self.queues.pop(queue_id)
             queue.association = None
@@ -58,14 +58,14 @@
             queue.close_gracefully()
 
     def _check_keep_alive(self) -> None:
-        if not self.keep_alive:
+        if not self.keep_alive_timeout:
             return
-        silence = self.controller.loop.time() - self.last_received_at
-        if silence > self.keep_alive + KEEP_ALIVE_GRACE_SECONDS:
+        idle_seconds = self.controller.loop.time() - self.last_received_at
+        if idle_seconds > self.keep_alive_timeout + KEEP_ALIVE_GRACE_SECONDS:
             self.controller.log("keep_alive_expired", association=self.controller_id)
             self.close()
         else:
             self._keep_alive_timer = self.controller.loop.call_later(
-                self.keep_alive + KEEP_ALIVE_GRACE_SECONDS - silence + TIMER_MARGIN_SECONDS,
+                self.keep_alive_timeout + KEEP_ALIVE_GRACE_SECONDS - idle_seconds + TIMER_MARGIN_SECONDS,
                 self._check_keep_alive,
             )
--- a/stalltiller/adapters/nvme_controller.py
+++ b/stalltiller/adapters/nvme_controller.py
@@ -1,8 +1,8 @@
-"""The NVMe/TCP server side: a controller whose I/O commands become requests to the engine.
+"""The NVMe/TCP server side: a controller that submits I/O commands to the engine as requests.
 
-`NvmeController` owns the associations of all hosts and what they share: the memory budgets, the mapping of
-commands to requests and the Command Retry Delays.  An association is a host's admin queue and its I/O queues;
-when one of them is lost, the host counts as disconnected.
+`NvmeController` owns the associations of all hosts and the state that they share: the memory budgets, the
+mapping of commands to requests and the Command Retry Delays.  An association consists of a host's admin queue
+and its I/O queues; a host that loses one of them is treated as disconnected.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 
 from stalltiller.adapters.nvme_association import Association
-from stalltiller.adapters.nvme_host_queue import MAX_COMMANDS, HostQueue
+from stalltiller.adapters.nvme_host_queue import MAX_COMMANDS_IN_FLIGHT, HostQueue
 from stalltiller.adapters.nvme_io_command import IoCommand
 from stalltiller.adapters.nvme_mapping import Mapping, Payload
 from stalltiller.routing.engine import Engine
@@ -23,10 +23,10 @@
 from stalltiller.transport.listener import Listener
 
 MAX_ASSOCIATIONS = 0xFF00
-CONTROLLER_ID_END = 0xFFF0  # identifiers from here on are reserved
-RETRY_DELAY_UNITS_PER_SECOND = 10  # Command Retry Delays count 100 ms
-MAX_DELAY_INDEX = 3
-# An idempotency key is the block address below the namespace, in 64 bits.
+CONTROLLER_ID_END = 0xFFF0  # identifiers from this one on are reserved
+RETRY_DELAY_UNITS_PER_SECOND = 10  # the unit is 100 ms
+MAX_RETRY_DELAY_INDEX = 3
+# An idempotency key has 64 bits: the namespace identifier above the low bits of the block address.
 LBA_BITS = 44
 KEY_MASK = (1 << 64) - 1
 
@@ -34,8 +34,8 @@
 class NvmeController:
     """Serves hosts over NVMe/TCP.
 
-    `max_data_bytes` bounds two things, each for all hosts together: the data of the commands in progress,
-    past which commands are rejected, and what hosts leave unread, past which their connections end.
+    `max_data_bytes` limits two totals over all hosts: the data of commands in flight (commands beyond it are
+    rejected) and the unread responses (connections that exceed it are aborted).
     """
 
     def __init__(
@@ -62,43 +62,43 @@
         self.update_settings(settings, mapping)
 
     def update_settings(self, settings: Settings, mapping: Mapping) -> None:
-        """Use other settings and another mapping from the next command on."""
+        """Apply new settings and a new mapping to further commands."""
         self.mapping = mapping
-        longest = 1
+        max_delay = 1
         if settings.may_send_retry_after:
-            longest = max(1, int(settings.max_retry_after * RETRY_DELAY_UNITS_PER_SECOND))
-        self.retry_delays = (1, max(1, longest // 2), longest)
+            max_delay = max(1, int(settings.max_retry_after * RETRY_DELAY_UNITS_PER_SECOND))
+        self.retry_delays = (1, max(1, max_delay // 2), max_delay)
 
     def connection(self, listener: Listener) -> HostQueue:
-        """Return the protocol object of a new connection."""
+        """Return the protocol object for a new connection."""
         return HostQueue(self, listener)
 
-    def create_association(self, keep_alive: float) -> Association | None:
-        """Return a new association, None if no more are accepted; `keep_alive` is in seconds."""
+    def create_association(self, keep_alive_timeout: float) -> Association | None:
+        """Return a new association, None if no more are accepted; the timeout is in seconds."""
         if self.stopping or len(self.associations) >= MAX_ASSOCIATIONS:
             return None
         controller_id = next(i for i in self._controller_ids if i not in self.associations)
-        association = Association(self, controller_id, keep_alive)
+        association = Association(self, controller_id, keep_alive_timeout)
         self.associations[controller_id] = association
         return association
 
-    def delay_index(self, retry_after: float) -> int:
-        """Return the index of the first Command Retry Delay of at least `retry_after` seconds, 3 at most."""
+    def retry_delay_index(self, retry_after: float) -> int:
+        """Return the index of the first Command Retry Delay of at least `retry_after` seconds, else 3."""
         for index, delay in enumerate(self.retry_delays, 1):
             if delay / RETRY_DELAY_UNITS_PER_SECOND >= retry_after:
                 return index
-        return MAX_DELAY_INDEX
+        return MAX_RETRY_DELAY_INDEX
 
     def reserve(self, io_command: IoCommand) -> bool:
-        """Reserve memory for a command's data; return False, with nothing reserved, if there is no room."""
+        """Reserve memory for a command's data; return False, reserving nothing, at a limit."""
         has_memory = self.command_data_budget.adjust(io_command.size)
-        if has_memory and self.engine.open_request_count < MAX_COMMANDS:
+        if has_memory and self.engine.open_request_count < MAX_COMMANDS_IN_FLIGHT:
             return True
         self.command_data_budget.adjust(-io_command.size)
         return False
 
     def submit(self, io_command: IoCommand) -> None:
-        """Hand a complete command to the engine; its deadline counts from when its capsule was received."""
+        """Submit a complete command to the engine; its deadline counts from the receipt of its capsule."""
         command = io_command.command
         namespace = io_command.namespace
         opcode_mapping = self.mapping.opcodes[command.opcode]
@@ -109,7 +109,7 @@
             lba=command.lba,
             blocks=command.blocks,
             data=bytes(io_command.data),
-            size=0 if io_command.is_write else io_command.size,
+            read_size=0 if io_command.is_write else io_command.size,
         )
         client_request = ClientRequest(
             class_index=opcode_mapping.class_index,
--- a/stalltiller/adapters/nvme_host_queue.py
+++ b/stalltiller/adapters/nvme_host_queue.py
@@ -1,7 +1,7 @@
-"""One connection of a host: a queue of its association, named by its Connect command.
+"""A connection of a host: one queue of its association, selected by its Connect command.
 
-`HostQueue` owns the connection's state and the I/O commands in progress on it.  A host that breaks the
-protocol ends its own association alone.  Source: the NVM Express TCP Transport and Base Specifications.
+`HostQueue` owns the connection's state and its I/O commands in flight.  A protocol error closes only the
+association of the host at fault.  Source: the NVM Express TCP Transport and Base Specifications.
 """
 
 from __future__ import annotations
@@ -19,40 +19,41 @@
 if TYPE_CHECKING:
     from stalltiller.adapters.nvme_controller import NvmeController
 
-MAX_IO_QUEUES = 8  # of one association
+MAX_IO_QUEUES_PER_ASSOCIATION = 8
 MIN_QUEUE_ENTRIES = 2
-MAX_COMMANDS = 4096  # of all hosts together; past it, commands are rejected
-UNREAD_TIMEOUT_SECONDS = 10.0  # how long a host may leave completions unread
-DISCONNECT_CHECK_SECONDS = 0.05  # between checks whether a host that is not read from has disconnected
-BUSY_DELAY_INDEX = 3  # the longest Command Retry Delay
+MAX_COMMANDS_IN_FLIGHT = 4096  # over all hosts; further commands are rejected
+UNREAD_TIMEOUT_SECONDS = 10.0  # abort if no pending byte can be sent for this long
+DISCONNECT_CHECK_INTERVAL_SECONDS = 0.05  # while reading from the host is paused
+BUSY_RETRY_DELAY_INDEX = 3  # the longest Command Retry Delay
 # Byte offsets in the submission queue entry of Connect
-CONNECT_RECORD_FORMAT_AT = 40
-CONNECT_QUEUE_ID_AT = 42
-CONNECT_QUEUE_SIZE_AT = 44
-CONNECT_KEEP_ALIVE_AT = 48  # milliseconds
-# Where a TermReq points at in a PDU's header
-CAPSULE_LENGTH_AT = 4
-CAPSULE_COMMAND_ID_AT = 10
-DATA_OFFSET_AT = 8
-DATA_LENGTH_AT = 12
+CONNECT_RECORD_FORMAT_OFFSET = 40
+CONNECT_QUEUE_ID_OFFSET = 42
+CONNECT_QUEUE_SIZE_OFFSET = 44
+CONNECT_KEEP_ALIVE_MS_OFFSET = 48
+# Fatal error information (FEI) of a TermReq for invalid fields
+FEI_CAPSULE_LENGTH = 4
+FEI_COMMAND_ID = 10
+FEI_DATA_OFFSET = 8
+FEI_DATA_LENGTH = 12
 
 
 class HostQueue(Connection):
-    """A host's connection; `association` is None before its Connect and after its queue was closed."""
+    """A host's connection; `association` is None before Connect and after a controller reset closed it."""
 
     def __init__(self, controller: NvmeController, listener: Listener) -> None:
         super().__init__(controller.buffers)
         self.controller = controller
         self._listener = listener
         self._reader = nvme.PduReader(nvme.FROM_HOST)
-        self._is_initialized = False  # ICReq was received
-        self._unread_bytes = 0  # reserved in the controller's budget of unread responses
+        self._is_initialized = False  # an ICReq was received
+        self._unread_bytes = 0  # reserved in the controller's budget for unread responses
         self._submission_head = 0
         self.association: Association | None = None
         self.queue_id = 0  # 0 for the admin queue
         self.entry_count = 0
         self.commands: dict[int, IoCommand] = {}  # by command identifier
-        self.orphaned_bytes: dict[int, int] = {}  # still to arrive for aborted writes, by command identifier
+        # Data still expected for cancelled writes, by command identifier.
+        self.cancelled_write_bytes: dict[int, int] = {}
 
     # --- The connection ---
     def on_connected(self) -> None:
@@ -67,23 +68,26 @@
             self.association.close()
 
     def close_if_idle(self) -> bool:
-        """Close while the program stops and return whether it did; a host's idle queue is in use before."""
-        is_busy = self.association is not None and self.association.has_commands()
+        """Close during shutdown if no command is in flight, and return whether it closed.
+
+        Before shutdown idle queues stay open: their hosts still use them.
+        """
+        is_busy = self.association is not None and self.association.has_commands_in_flight()
         if not self.controller.stopping or is_busy:
             return False
         self.close_gracefully()
         return True
 
     def close_gracefully(self) -> None:
-        """Shut down sending after what was written and drop what still arrives."""
+        """Shut down sending after the pending bytes and discard further received bytes."""
         if not self.is_closing and not self.half_closed:
             self._listener.closing_gracefully(self)
             super().close_gracefully()
 
     def on_buffer_full(self) -> None:
-        """Wait until the host reads its completions.
+        """Pause reading until the host reads its completions, and check for a disconnect meanwhile.
 
-        Guards against a host that disconnects meanwhile: reading does not show it, and its commands would be
+        While reading is paused a disconnect is not reported, and the commands of a disconnected host would be
         sent to targets.
         """
         super().on_buffer_full()
@@ -94,13 +98,13 @@
             if self.is_peer_closed():
                 self.abort()
             else:
-                self.controller.loop.call_later(DISCONNECT_CHECK_SECONDS, self._check_disconnect)
+                self.controller.loop.call_later(DISCONNECT_CHECK_INTERVAL_SECONDS, self._check_disconnect)
 
     def abort_partial_responses(self) -> None:
-        """Do nothing: only a completion ends a command."""
+        """Do nothing: hosts recognise an incomplete response by the missing completion."""
 
     def on_request_timeout(self) -> None:
-        """Abort: the Connect command has not arrived in time."""
+        """Abort: no Connect command was received within the timeout."""
         self.abort()
 
     def reject_requests(self) -> None:
@@ -110,7 +114,7 @@
     def on_data(self, data: memoryview) -> int:
         """Parse a PDU and process it; return the number of bytes consumed."""
         if not self.flushed:
-            return 0  # no further commands of a host that does not read its completions
+            return 0  # process no commands while completions are unread
         try:
             consumed, pdu = self._reader.feed(data)
             self._listener.request_started(self)
@@ -122,28 +126,28 @@
         return consumed
 
     def pause_writing(self) -> None:
-        """Limit the time for which the host may read nothing."""
+        """Start the timeout for a host that does not read."""
         super().pause_writing()
         self.abort_if_unread(UNREAD_TIMEOUT_SECONDS)
 
     def resume_writing(self) -> None:
-        """Go on once the host has read everything that was written."""
+        """Resume processing once all written bytes are sent."""
         self._reserve_unread(0)
         super().resume_writing()
 
     def _reserve_unread(self, size: int) -> bool:
-        change = size - self._unread_bytes
+        byte_delta = size - self._unread_bytes
         self._unread_bytes = size
-        return self.controller.unread_response_budget.adjust(change)
+        return self.controller.unread_response_budget.adjust(byte_delta)
 
     # --- For the association and its commands ---
     def cancel_commands(self) -> None:
-        """Cancel all I/O commands: their host has disconnected."""
+        """Cancel all I/O commands, as when their host disconnects."""
         for command in list(self.commands.values()):
             command.cancel()
 
     def send_completion(self, completion: nvme.Completion) -> None:
-        """Send a completion; a host that leaves too many unread loses its connection."""
+        """Send a completion; abort if unread responses exceed their memory budget."""
         self._submission_head = (self._submission_head + 1) % max(1, self.entry_count)
         self.write(nvme.completion(completion, self.queue_id, self._submission_head))
         if self.flushed or self.is_closing:
@@ -153,7 +157,7 @@
             self.abort()
 
     def _terminate(self, error: nvme.PduError) -> None:
-        """Report a protocol error to the host and end its association alone."""
+        """Report a protocol error to the host and close only its association."""
         self.controller.engine.counts["bad_pdus"] += 1
         self.controller.log("bad_pdu", error=str(error), status=error.status)
         self.write(nvme.term(nvme.C2H_TERM, error))
@@ -179,11 +183,13 @@
         elif pdu.kind == nvme.H2C_DATA:
             self._handle_data(pdu)
         else:
-            raise nvme.PduError("a second ICReq", nvme.BAD_SEQUENCE)
+            raise nvme.PduError("ICReq received twice", nvme.BAD_SEQUENCE)
 
     def _handle_command(self, command: nvme.Command, data: bytes) -> None:
         if len(data) > nvme.IN_CAPSULE:
-            raise nvme.PduError("more data in a capsule than was offered", nvme.BAD_FIELD, CAPSULE_LENGTH_AT)
+            raise nvme.PduError(
+                "in-capsule data exceeds the advertised limit", nvme.BAD_FIELD, FEI_CAPSULE_LENGTH
+            )
         if self.association is None:
             status = self._connect(command, data)
             if status != nvme.OK:
@@ -198,22 +204,22 @@
     def _connect(self, command: nvme.Command, data: bytes) -> int:
         """Join or create an association and return the status.
 
-        The completion is sent here if the status is OK, else by the caller.
+        The completion is sent here if the status is OK, otherwise by the caller.
         """
         if command.opcode != nvme.FABRICS or command.nsid != nvme.CONNECT:
-            return nvme.SEQUENCE
-        if len(data) != nvme.CONNECT_SIZE or command.u16(CONNECT_RECORD_FORMAT_AT) != 0:
+            return nvme.COMMAND_SEQUENCE_ERROR
+        if len(data) != nvme.CONNECT_DATA_BYTES or command.u16(CONNECT_RECORD_FORMAT_OFFSET) != 0:
             return nvme.BAD_CONNECT
         controller_id, subsystem, _ = nvme.parse_connect(data)
-        queue_id = command.u16(CONNECT_QUEUE_ID_AT)
-        entry_count = command.u16(CONNECT_QUEUE_SIZE_AT) + 1
+        queue_id = command.u16(CONNECT_QUEUE_ID_OFFSET)
+        entry_count = command.u16(CONNECT_QUEUE_SIZE_OFFSET) + 1
         if subsystem != self.controller.mapping.subsystem:
             return nvme.BAD_CONNECT
         if queue_id == 0:
-            if controller_id != nvme.DYNAMIC or not _is_valid_size(entry_count, nvme.ADMIN_ENTRIES):
+            if controller_id != nvme.DYNAMIC or not _is_valid_size(entry_count, nvme.MAX_ADMIN_QUEUE_ENTRIES):
                 return nvme.BAD_CONNECT
-            keep_alive = command.u32(CONNECT_KEEP_ALIVE_AT) / 1000
-            association = self.controller.create_association(keep_alive)
+            keep_alive_timeout = command.u32(CONNECT_KEEP_ALIVE_MS_OFFSET) / 1000
+            association = self.controller.create_association(keep_alive_timeout)
             if association is None:
                 return nvme.BUSY
         else:
@@ -233,16 +239,16 @@
         association = self.controller.associations.get(controller_id)
         if association is None or not association.is_enabled:
             return None
-        if queue_id > MAX_IO_QUEUES or queue_id in association.queues:
+        if queue_id > MAX_IO_QUEUES_PER_ASSOCIATION or queue_id in association.queues:
             return None
-        return association if _is_valid_size(entry_count, nvme.IO_ENTRIES) else None
+        return association if _is_valid_size(entry_count, nvme.MAX_IO_QUEUE_ENTRIES) else None
 
     # --- I/O commands ---
     def _handle_io_command(self, command: nvme.Command, data: bytes) -> None:
-        if command.cid in self.commands or command.cid in self.orphaned_bytes:
-            raise nvme.PduError("command id in use", nvme.BAD_FIELD, CAPSULE_COMMAND_ID_AT)
+        if command.cid in self.commands or command.cid in self.cancelled_write_bytes:
+            raise nvme.PduError("command identifier already in use", nvme.BAD_FIELD, FEI_COMMAND_ID)
         if len(self.commands) >= self.entry_count - 1:
-            raise nvme.PduError("more commands than the queue holds", nvme.BAD_SEQUENCE)
+            raise nvme.PduError("commands in flight exceed the queue size", nvme.BAD_SEQUENCE)
         namespace = self.controller.mapping.namespaces.get(command.nsid)
         status = self._validate(command, namespace)
         if status != nvme.OK or namespace is None:
@@ -250,17 +256,17 @@
             return
         io_command = IoCommand(self, command, namespace, self.controller.loop.time())
         if not self.controller.reserve(io_command):
-            self.send_completion(nvme.Completion(command.cid, nvme.NOT_READY, delay=BUSY_DELAY_INDEX))
+            self.send_completion(nvme.Completion(command.cid, nvme.NOT_READY, delay=BUSY_RETRY_DELAY_INDEX))
             return
         self.commands[command.cid] = io_command
-        if io_command.is_write and command.sgl != nvme.IN_CAPSULE_SGL:
+        if io_command.is_write and command.sgl_type != nvme.IN_CAPSULE_SGL:
             self._request_data(io_command)
         else:
             io_command.data += data
             self.controller.submit(io_command)
 
     def _validate(self, command: nvme.Command, namespace: Namespace | None) -> int:
-        """Return the status of a command that can't be executed, else OK."""
+        """Return the error status of an invalid command, else OK."""
         if command.opcode not in self.controller.mapping.opcodes:
             return nvme.BAD_OPCODE
         if namespace is None:
@@ -272,7 +278,7 @@
         return nvme.OK
 
     def _request_data(self, io_command: IoCommand) -> None:
-        """Ask the host for the data of a write; it has the command's deadline to send it."""
+        """Request the data of a write by R2T; the host must send it within the deadline of a write."""
         deadline = self.controller.mapping.opcodes[nvme.WRITE].deadline
         io_command.data_timer = self.controller.loop.call_later(deadline, self._on_data_timeout)
         cid = io_command.command.cid
@@ -285,10 +291,10 @@
 
     def _handle_data(self, pdu: nvme.Pdu) -> None:
         cid, tag, offset, length = nvme.parse_data(pdu)
-        if cid in self.orphaned_bytes:
-            self.orphaned_bytes[cid] -= length
-            if self.orphaned_bytes[cid] <= 0:
-                del self.orphaned_bytes[cid]
+        if cid in self.cancelled_write_bytes:
+            self.cancelled_write_bytes[cid] -= length
+            if self.cancelled_write_bytes[cid] <= 0:
+                del self.cancelled_write_bytes[cid]
             return
         io_command = self.commands.get(cid)
         if (
@@ -297,15 +303,19 @@
             or io_command.data_timer is None
             or io_command.request_number is not None
         ):
-            raise nvme.PduError("data that was not asked for", nvme.BAD_SEQUENCE)
+            raise nvme.PduError("data does not match an outstanding R2T", nvme.BAD_SEQUENCE)
         if offset != len(io_command.data) or offset + length > io_command.size:
-            raise nvme.PduError("data out of range", nvme.OUT_OF_RANGE, DATA_OFFSET_AT)
+            raise nvme.PduError(
+                "data out of order or beyond the requested length", nvme.OUT_OF_RANGE, FEI_DATA_OFFSET
+            )
         io_command.data += pdu.data
         if len(io_command.data) == io_command.size:
             io_command.data_timer.cancel()
             self.controller.submit(io_command)
         elif pdu.flags & nvme.LAST:
-            raise nvme.PduError("data ends early", nvme.OUT_OF_RANGE, DATA_LENGTH_AT)
+            raise nvme.PduError(
+                "last data PDU ends before the requested length", nvme.OUT_OF_RANGE, FEI_DATA_LENGTH
+            )
 
 
 def _is_valid_size(entry_count: int, max_entries: int) -> bool:
--- a/stalltiller/adapters/nvme_io_command.py
+++ b/stalltiller/adapters/nvme_io_command.py
@@ -1,6 +1,6 @@
 """One Read or Write command of a host, from its capsule to its completion.
 
-Owned by its I/O queue; the engine answers the request through it (`ResponseHandler`).
+Its I/O queue owns it.  It is the request's `ResponseHandler`, through which the engine reports the outcome.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 class IoCommand:
     """A host's Read or Write command.
 
-    `data` collects what the host sends of a write.  `request_number` is the engine's number of the request,
-    None until it is submitted; `data_timer` is set for a write whose data the host was asked for.
+    `data` accumulates the data of a write.  `request_number` is the engine's number for the request, None
+    until it is submitted; `data_timer` is set for a write whose data was requested by R2T.
     """
 
     def __init__(
@@ -39,18 +39,18 @@
         """Whether the command is a Write."""
         return self.command.opcode == nvme.WRITE
 
-    def complete(self, answer: bytes) -> None:
-        """Send what a target read, and a successful completion."""
-        if answer:
-            self.queue.write(nvme.data_pdu(nvme.C2H_DATA, self.command.cid, 0, 0, answer))
+    def complete(self, data: bytes) -> None:
+        """Send the data of a read, if any, and a successful completion."""
+        if data:
+            self.queue.write(nvme.data_pdu(nvme.C2H_DATA, self.command.cid, 0, 0, data))
         self._send_completion()
 
     def reject(self, retry_after: float) -> None:
-        """Complete as retryable, with the delay nearest to `retry_after` seconds; nothing was executed."""
-        self._send_completion(nvme.NOT_READY, delay=self.queue.controller.delay_index(retry_after))
+        """Complete as retryable, with the delay closest to `retry_after` seconds; nothing was executed."""
+        self._send_completion(nvme.NOT_READY, delay=self.queue.controller.retry_delay_index(retry_after))
 
     def fail(self) -> None:
-        """Complete as failed; a write may have been executed, so the host must not repeat it on its own."""
+        """Complete as failed; a write may have been executed, so the host must not retry it."""
         self._send_completion(nvme.INTERNAL, no_retry=self.is_write)
 
     def is_disconnected(self) -> bool:
@@ -58,10 +58,10 @@
         return self.queue.is_peer_closed()
 
     def cancel(self) -> None:
-        """Give the command up for its host; data that it was asked for may still arrive."""
+        """Cancel the command for its host; data already requested from the host may still arrive."""
         self._release()
         if self.data_timer is not None and self.request_number is None:
-            self.queue.orphaned_bytes[self.command.cid] = self.size - len(self.data)
+            self.queue.cancelled_write_bytes[self.command.cid] = self.size - len(self.data)
         if self.request_number is not None:
             self.queue.controller.engine.cancel(self.request_number)
 
@@ -70,7 +70,7 @@
         self.queue.send_completion(nvme.Completion(self.command.cid, status, 0, delay, no_retry))
 
     def _release(self) -> None:
-        """Remove the command from its queue and give its memory back."""
+        """Remove the command from its queue and release its memory reservation."""
         if self.queue.commands.pop(self.command.cid, None) is not None:
             self.queue.controller.command_data_budget.adjust(-self.size)
         if self.data_timer is not None:
--- a/stalltiller/adapters/nvme_mapping.py
+++ b/stalltiller/adapters/nvme_mapping.py
@@ -1,6 +1,6 @@
-"""How NVMe commands become requests, and what of a command passes on to a target.
+"""The mapping of NVMe commands to requests, and the part of a command that is sent to a target.
 
-These are values from the operator's file; nothing here changes after it was read.
+The mapping comes from the operator's file and does not change once loaded.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Namespace:
-    """What the operator's file says of a namespace."""
+    """A namespace as configured in the operator's file."""
 
     volume: int
     plan_index: int
     shard: int
-    initiator_count: int  # how many initiators serve the volume
+    initiator_count: int  # initiators that serve the volume
     blocks: int
     block_size: int
     blocks_per_unit: float
 
 
 class OpcodeMapping(NamedTuple):
-    """The request class of an opcode, and its deadline in seconds."""
+    """The request class of an opcode and its deadline in seconds."""
 
     class_index: int
     deadline: float
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Mapping:
-    """How commands become requests: the namespaces by identifier, the request classes by opcode."""
+    """The mapping of commands to requests: namespaces by identifier, request classes by opcode."""
 
     subsystem: str
     namespaces: dict[int, Namespace]
@@ -40,11 +40,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Payload:
-    """A command on its way to a target; `size` is the number of bytes that a read brings back."""
+    """A command to be sent to a target; `read_size` is the number of bytes that a read returns."""
 
     opcode: int
     nsid: int
     lba: int
     blocks: int
     data: bytes
-    size: int
+    read_size: int
--- a/stalltiller/adapters/nvme_target_client.py
+++ b/stalltiller/adapters/nvme_target_client.py
@@ -1,7 +1,7 @@
-"""The NVMe/TCP target side: associations that send attempts to targets, as a host does.
+"""The NVMe/TCP client side: the initiator acts as a host and sends attempts to targets over associations.
 
-Each channel of the pool is an association of its own with one I/O queue and one command in flight, so that
-giving an attempt up, which closes its association, disturbs no other.
+Each channel of the connection pool is a separate association with one I/O queue and one command in flight.
+Abandoning an attempt closes its association and thus affects no other attempt.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 from stalltiller.scheduling import AttemptStatus
 from stalltiller.transport.buffers import BufferPool
 
-KEEP_ALIVE_TIMEOUT_SECONDS = 10.0  # what targets are told
+KEEP_ALIVE_TIMEOUT_SECONDS = 10.0  # sent to targets in Connect
 KEEP_ALIVE_INTERVAL_SECONDS = KEEP_ALIVE_TIMEOUT_SECONDS / 2
-READY_POLL_SECONDS = 0.01  # between checks whether a target's controller is ready
+READY_POLL_SECONDS = 0.01  # interval between reads of CSTS until the controller is ready
 ADMIN_QUEUE_ID = 0
 IO_QUEUE_ID = 1
 QUEUE_ENTRIES = 8
-CONTROLLER_ID_MASK = 0xFFFF  # in the result of Connect
-CC_ENTRY_SIZES = 0x460000  # CC: queue entries of 64 and 16 bytes, the only ones over fabrics
+CONTROLLER_ID_MASK = 0xFFFF  # CNTLID in the result of Connect
+CC_ENTRY_SIZES = 0x460000  # CC: queue entries of 64 and 16 bytes, the only sizes over fabrics
 CONNECTIONS_PER_ASSOCIATION = 2
 HOST_NQN_PREFIX = "nqn.2014-08.org.nvmexpress:stalltiller:"
 
 
 class TargetAssociation:
-    """A pool's channel: an association with a target, its admin queue and one I/O queue.
+    """A channel of the connection pool: an association with a target, its admin queue and one I/O queue.
 
-    `capsule_limit` is the number of bytes of data that the target takes in a capsule.
+    `capsule_limit` is the number of data bytes that the target accepts in a capsule.
     """
 
     def __init__(
@@ -49,25 +49,25 @@
         self._io_queue = io_queue
         self._capsule_limit = capsule_limit
         self._attempt: Attempt | None = None
-        admin_queue.on_end = self.close
-        io_queue.on_end = self.close
+        admin_queue.on_connection_lost = self.close
+        io_queue.on_connection_lost = self.close
         self._keep_alive_timer = self._start_keep_alive_timer()
 
     @property
     def is_closing(self) -> bool:
-        """Whether one of its connections is closing or closed."""
+        """Whether one of the two connections is closing or closed."""
         return self._admin_queue.is_closing or self._io_queue.is_closing
 
     def is_clean(self) -> bool:
-        """Return whether it is open and nothing unexpected has arrived on the I/O queue."""
-        # The admin queue may hold the answer to a keep alive.
+        """Return whether the association is open and nothing unexpected was received on the I/O queue."""
+        # The admin queue may hold the response to a Keep Alive.
         return not self._admin_queue.is_closing and self._io_queue.is_clean()
 
     def start_exchange(self, attempt: Attempt) -> None:
-        """Send an attempt's command; the data of a write goes in the capsule if the target takes it there."""
+        """Send an attempt's command; write data goes into the capsule if the target accepts it there."""
         self._attempt = attempt
         payload: Payload = attempt.payload
-        size = len(payload.data) or payload.size
+        size = len(payload.data) or payload.read_size
         capsule_data = payload.data if len(payload.data) <= self._capsule_limit else b""
 
         def encode(cid: int) -> bytes:
@@ -76,16 +76,16 @@
                 payload.opcode, cid, payload.nsid, payload.lba, payload.blocks, size, capsule_data
             )
 
-        self._io_queue.run(encode, self._on_completion, payload.data, payload.size)
+        self._io_queue.run(encode, self._on_completion, payload.data, payload.read_size)
 
     def is_fully_sent(self) -> bool:
-        """Return True: a capsule is enough for a target to begin."""
+        """Return True: a target may start to execute a command once it has received the capsule."""
         return True
 
     def abandon(self) -> bool:
-        """Give the attempt up and return whether it may have been executed.
+        """Abandon the attempt and return True: it may have been executed.
 
-        Any byte of a capsule sent may have made a target execute it, whatever of its data has followed.
+        A target may execute a command once bytes of its capsule were sent, even if its data is incomplete.
         """
         self._attempt = None
         self.close()
@@ -102,7 +102,7 @@
         self._attempt = None
         if attempt is None:
             return
-        status = _attempt_status(completion, len(data) == attempt.payload.size)
+        status = _attempt_status(completion, len(data) == attempt.payload.read_size)
         if self._io_queue.error is not None:
             status = AttemptStatus.ERROR
             self._target_client.log_bad_response(attempt, str(self._io_queue.error))
@@ -112,15 +112,15 @@
         else:
             attempt.channel = None
             self.close()
-        answer = data if status is AttemptStatus.OK else None
-        self._target_client.engine.attempt_finished(attempt, AttemptResult(status, answer))
+        result_data = data if status is AttemptStatus.OK else None
+        self._target_client.engine.attempt_finished(attempt, AttemptResult(status, result_data))
 
     # --- Keep alive ---
     def _start_keep_alive_timer(self) -> asyncio.TimerHandle:
         return self._target_client.loop.call_later(KEEP_ALIVE_INTERVAL_SECONDS, self._send_keep_alive)
 
     def _send_keep_alive(self) -> None:
-        if self._admin_queue.is_busy:  # the last one is not answered: the target has left silently
+        if self._admin_queue.is_busy:  # the previous one has no response: the target is gone or unreachable
             self.close()
         elif not self.is_closing:
             self._admin_queue.run(_encode_keep_alive, _ignore_completion)
@@ -128,7 +128,7 @@
 
 
 def _attempt_status(completion: nvme.Completion | None, has_all_data: bool) -> AttemptStatus:
-    """Return how a command ended; a completion of None stands for a lost queue."""
+    """Return the attempt status of a command; `completion` is None if the queue was lost."""
     if completion is None:
         return AttemptStatus.RESET
     if completion.status == nvme.OK and has_all_data:
@@ -143,14 +143,14 @@
 
 
 def _ignore_completion(_completion: nvme.Completion | None, _data: bytes) -> None:
-    """Do nothing: what counts is that the keep alive was answered."""
+    """Do nothing: any completion of a Keep Alive shows that the target responds."""
 
 
 class NvmeTargetClient(PooledTargetClient):
     """Sends attempts to targets over NVMe/TCP.
 
-    Arguments are those of `PooledTargetClient`, except that `max_connections` bounds the connections, of
-    which each channel takes two.  `name` is the initiator's, for its NVMe qualified name.
+    The arguments are those of `PooledTargetClient`, except that `max_connections` limits the connections, two
+    per channel.  `name` is the initiator's name, a part of its NVMe qualified name.
     """
 
     def __init__(
@@ -169,7 +169,7 @@
         super().__init__(loop, engine, buffers, connect_timeout, idle_limit, max_channels, log)
         self._host_nqn = HOST_NQN_PREFIX + name
         self._mapping = mapping
-        self._host_id = os.urandom(16)  # identifies the host to targets, decides nothing
+        self._host_id = os.urandom(16)  # sent in Connect; the initiator's behaviour does not depend on it
 
     async def connect(self, host: str, port: int) -> TargetAssociation:
         """Open an association with a target; raises OSError if the target can't be reached or rejects it."""
@@ -182,7 +182,7 @@
             raise
 
     async def _connect(self, host: str, port: int, queues: list[TargetQueue]) -> TargetAssociation:
-        """Open the two queues, adding each to `queues` as soon as it is up, and enable the controller."""
+        """Open both queues, adding each to `queues` once it is connected, and enable the controller."""
         admin_queue = await self._open_queue(host, port, queues)
         completion, _ = await admin_queue.execute(
             lambda cid: self._connect_command(cid, ADMIN_QUEUE_ID, nvme.DYNAMIC)
--- a/stalltiller/adapters/nvme_target_queue.py
+++ b/stalltiller/adapters/nvme_target_queue.py
@@ -1,6 +1,6 @@
-"""The host side of one NVMe/TCP queue to a target, with one command in flight at a time.
+"""The host side of one NVMe/TCP queue to a target, with at most one command in flight.
 
-`TargetQueue` owns the connection's state.  Each command's callback is called exactly once.  Source: the NVM
+`TargetQueue` owns the connection's state and calls each command's callback exactly once.  Source: the NVM
 Express TCP Transport Specification.
 """
 
@@ -15,31 +15,32 @@
 from stalltiller.transport.buffers import BufferPool
 from stalltiller.transport.connection import Connection
 
-COMMAND_ID_END = 0x8000  # command identifiers are below it and above zero
-DATA_OFFSET_AT = 8  # where a TermReq points at in the header of a data PDU or R2T
-DATA_LENGTH_AT = 12
+COMMAND_ID_END = 0x8000  # command identifiers are 1 to COMMAND_ID_END - 1
+# Fatal error information (FEI) of a TermReq for invalid fields of a data PDU or R2T
+FEI_DATA_OFFSET = 8
+FEI_DATA_LENGTH = 12
 
 CommandCallback = Callable[[nvme.Completion | None, bytes], None]
 
 
 class TargetQueue(Connection):
-    """One queue to a target; `on_end` is called when its connection is lost."""
+    """A queue to a target; `on_connection_lost` is called when its connection is lost."""
 
     def __init__(self, buffers: BufferPool) -> None:
         super().__init__(buffers)
         self._reader = nvme.PduReader(nvme.FROM_CONTROLLER)
         self._command_ids = itertools.cycle(range(1, COMMAND_ID_END))
-        self._command_id = 0  # of the command in flight
+        self._command_id = 0  # identifier of the latest command
         self._callback: CommandCallback | None = None
-        self._write_data = b""  # what the target may ask for
+        self._write_data = b""  # data that the target may request by R2T
         self._read_data = bytearray()
-        self._read_size = 0  # bytes that are to come back
-        self._last_progress_at = 0.0  # when bytes came last
+        self._read_size = 0  # data bytes expected from the target
+        self._last_progress_at = 0.0  # time of the last bytes received for a read
         self._stall_timer: asyncio.TimerHandle | None = None
         self._max_pdu_data = nvme.MAX_DATA
         self._initialized: asyncio.Future[None] | None = None
         self.error: nvme.PduError | None = None
-        self.on_end: Callable[[], None] | None = None
+        self.on_connection_lost: Callable[[], None] | None = None
 
     @property
     def is_busy(self) -> bool:
@@ -55,22 +56,22 @@
     async def execute(
         self, encode: Callable[[int], bytes], read_size: int = 0
     ) -> tuple[nvme.Completion, bytes]:
-        """Run a command of the handshake and return its completion and data.
+        """Run a command of the connection setup and return its completion and data.
 
-        `encode` makes the capsule for a command identifier.  Raises ConnectionError if the command fails.
+        `encode` returns the capsule for a command identifier.  Raises ConnectionError if the command fails.
         """
         response: asyncio.Future[tuple[nvme.Completion | None, bytes]]
         response = asyncio.get_running_loop().create_future()
 
         def set_response(completion: nvme.Completion | None, data: bytes) -> None:
-            """Resolve the future, unless its waiter was cancelled."""
+            """Resolve the future unless its awaiter was cancelled."""
             if not response.done():
                 response.set_result((completion, data))
 
         self.run(encode, set_response, read_size=read_size)
         completion, data = await response
         if completion is None or completion.status:
-            raise ConnectionError("the target refused the association")
+            raise ConnectionError("the target rejected a command of the connection setup or closed the queue")
         return completion, data
 
     def run(
@@ -82,7 +83,7 @@
     ) -> None:
         """Send a command; `callback` is called once, with None if the queue is lost.
 
-        `write_data` is sent when the target asks for it, `read_size` bytes are to come back.
+        `write_data` is sent when the target requests it by R2T; `read_size` data bytes are expected.
         """
         self._command_id = next(self._command_ids)
         self._callback = callback
@@ -111,7 +112,7 @@
         return consumed
 
     def _check_stall(self) -> None:
-        """Guard against responses that stop short on a connection that stays open."""
+        """Abort if a read response makes no progress on a connection that stays open."""
         self._stall_timer = None
         if not self._read_data or self._callback is None:
             return
@@ -120,21 +121,21 @@
         if remaining > 0:
             self._stall_timer = loop.call_later(remaining, self._check_stall)
             return
-        self.error = nvme.PduError("the answer stopped short")
+        self.error = nvme.PduError("read response stalled before its completion")
         self.abort()
 
     def eof_received(self) -> bool:
-        """Abort; a close would go on writing to a target that has stopped."""
+        """Abort: a close would continue to write to a target that has shut down its side."""
         self.abort()
         return False
 
     def on_disconnected(self, _error: Exception | None) -> None:
-        """Fail the handshake or the command in flight and tell the owner."""
+        """Fail the connection setup or the command in flight and notify the owner."""
         if self._initialized is not None and not self._initialized.done():
             self._initialized.set_exception(ConnectionResetError("the target closed the queue"))
         self._finish_command(None)
-        if self.on_end is not None:
-            self.on_end()
+        if self.on_connection_lost is not None:
+            self.on_connection_lost()
 
     # --- PDUs ---
     def _handle_pdu(self, pdu: nvme.Pdu) -> None:
@@ -142,8 +143,8 @@
             self.abort()
         elif pdu.kind == nvme.IC_RESP:
             if self._initialized is None or self._initialized.done():
-                raise nvme.PduError("ICResp not asked for", nvme.BAD_SEQUENCE)
-            self._max_pdu_data = min(nvme.MAX_DATA, max(nvme.PAGE, nvme.parse_ic(pdu)))
+                raise nvme.PduError("unexpected ICResp", nvme.BAD_SEQUENCE)
+            self._max_pdu_data = min(nvme.MAX_DATA, max(nvme.MEMORY_PAGE_BYTES, nvme.parse_ic(pdu)))
             self._initialized.set_result(None)
         elif pdu.kind == nvme.RESPONSE:
             completion = nvme.parse_completion(pdu)
@@ -153,26 +154,30 @@
             self._handle_data_pdu(pdu)
 
     def _handle_data_pdu(self, pdu: nvme.Pdu) -> None:
-        """Process an R2T, or data of a read."""
+        """Process an R2T or the data of a read."""
         cid, tag, offset, length = nvme.parse_data(pdu)
         self._check_in_flight(cid)
         if pdu.kind == nvme.R2T:
             self._send_data(tag, offset, length)
             return
         if offset != len(self._read_data) or offset + length > self._read_size:
-            raise nvme.PduError("data out of range", nvme.OUT_OF_RANGE, DATA_OFFSET_AT)
+            raise nvme.PduError(
+                "data out of order or beyond the expected length", nvme.OUT_OF_RANGE, FEI_DATA_OFFSET
+            )
         self._read_data += pdu.data
         if pdu.flags & nvme.SUCCESS:
             self._finish_command(nvme.Completion(cid))
 
     def _check_in_flight(self, cid: int) -> None:
         if self._callback is None or cid != self._command_id:
-            raise nvme.PduError("a command that is not out", nvme.BAD_SEQUENCE)
+            raise nvme.PduError("command identifier of no command in flight", nvme.BAD_SEQUENCE)
 
     def _send_data(self, tag: int, offset: int, length: int) -> None:
         end_offset = offset + length
         if not length or end_offset > len(self._write_data):
-            raise nvme.PduError("data asked for is out of range", nvme.OUT_OF_RANGE, DATA_LENGTH_AT)
+            raise nvme.PduError(
+                "R2T range is empty or exceeds the write data", nvme.OUT_OF_RANGE, FEI_DATA_LENGTH
+            )
         for piece_offset in range(offset, end_offset, self._max_pdu_data):
             piece = self._write_data[piece_offset : min(end_offset, piece_offset + self._max_pdu_data)]
             flags = nvme.LAST if piece_offset + len(piece) == end_offset else 0
--- a/stalltiller/protocol/nvme.py
+++ b/stalltiller/protocol/nvme.py
@@ -1,10 +1,10 @@
-"""NVMe over TCP, a subset: Fabrics, admin and I/O commands; no metadata.
+"""A subset of NVMe over TCP: Fabrics, admin and I/O commands, without metadata.
 
-Names and layouts are those of the NVM Express Base Specification; numbers are little-endian.  The PDUs that
-carry the commands are in `nvme_pdu`; the names that users need are exported here as well.
+Names and layouts are those of the NVM Express Base Specification; integers are little-endian.  The PDUs that
+carry the commands are in `nvme_pdu`; its public names are exported here as well.
 """
 
-# ruff: noqa: F401  (names of `nvme_pdu` are imported as a part of this module's interface)
+# ruff: noqa: F401  (names imported from `nvme_pdu` are part of this module's interface)
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
     term,
 )
 
-IN_CAPSULE = 8 * 1024  # bytes of write data that a capsule may carry; longer writes wait for an R2T
-PAGE = 4096  # bytes: the memory page size (CAP.MPSMIN), in which MDTS is counted
-ADMIN_ENTRIES = 32  # the longest admin queue that is offered
-IO_ENTRIES = 64  # the longest I/O queue that is offered
+IN_CAPSULE = 8 * 1024  # bytes of write data that a capsule may carry; larger writes wait for an R2T
+MEMORY_PAGE_BYTES = 4096  # minimum memory page size (CAP.MPSMIN), the unit of MDTS
+MAX_ADMIN_QUEUE_ENTRIES = 32
+MAX_IO_QUEUE_ENTRIES = 64
 
 # --- Commands -------------------------------------------------------------------------------------
 # Opcodes of I/O commands
@@ -63,7 +63,7 @@
 PROPERTY_SET = 0x00
 CONNECT = 0x01
 PROPERTY_GET = 0x04
-# Offsets of controller properties, by the specification's names
+# Offsets of controller properties
 CAP = 0x00
 VS = 0x08
 CC = 0x14
@@ -72,23 +72,23 @@
 CC_ENABLE = 0x1
 CC_SHUTDOWN = 0xC000
 CSTS_READY = 0x1
-CSTS_SHUT = 0x8
+CSTS_SHUTDOWN_COMPLETE = 0x8
 VERSION = 0x00010400  # NVM Express 1.4
 # CNS values of Identify
 CNS_NAMESPACE = 0x00
 CNS_CONTROLLER = 0x01
-CNS_ACTIVE = 0x02
-CONNECT_SIZE = 1024  # bytes of Connect's data
+CNS_ACTIVE_NAMESPACES = 0x02
+CONNECT_DATA_BYTES = 1024
 IDENTIFY_SIZE = 4096  # bytes of an Identify data structure
-DYNAMIC = 0xFFFF  # controller id by which a host leaves the choice to the controller
-# SGL descriptor: type and subtype
+DYNAMIC = 0xFFFF  # controller identifier of the dynamic controller model: the controller assigns one
+# SGL descriptor types with their subtypes
 IN_CAPSULE_SGL = 0x01
 TRANSPORT_SGL = 0x5A
-SGL_IN_COMMAND = 0x40  # command flag: SGLs are used for the transfer
-FUSED_FLAGS = 0x3F  # command flags that the subset does not support
+PSDT_SGL = 0x40  # command flags: SGLs describe the data transfer
+UNSUPPORTED_FLAGS = 0x3F  # command flags: fused operation and reserved bits
 
-# Offsets of fields in a command capsule, as PduError's information: the entry follows the common header of 8
-# bytes
+# Byte offsets in a command capsule, reported as `PduError.info`.  The submission queue entry follows the
+# common header of 8 bytes.
 COMMAND_FLAGS_OFFSET = 9
 SGL_LENGTH_OFFSET = 8 + 32
 SGL_TYPE_OFFSET = 8 + 39
@@ -100,7 +100,7 @@
 INTERNAL = 0x006
 ABORTED = 0x007
 BAD_NAMESPACE = 0x00B
-SEQUENCE = 0x00C
+COMMAND_SEQUENCE_ERROR = 0x00C
 NOT_READY = 0x082
 OUT_OF_LBA = 0x080
 BAD_CONNECT = 0x182
@@ -109,30 +109,30 @@
 
 @dataclass(slots=True, frozen=True)
 class Command:
-    """A submission queue entry: the fields that the subset uses.
+    """A submission queue entry, reduced to the fields that are used.
 
-    `sgl` is the SGL descriptor's type and `length` its length in bytes, `raw` the whole entry.  For Fabrics
-    commands `nsid` holds the type of the Fabrics command.
+    `sgl_type` is the SGL descriptor's type and `length` its length in bytes; `raw` is the whole entry.  For
+    Fabrics commands `nsid` holds the Fabrics command type.
     """
 
     opcode: int
     cid: int
     nsid: int
-    sgl: int
+    sgl_type: int
     length: int
     raw: bytes
 
-    def u16(self, at: int) -> int:
-        """Return the 16-bit number at a byte offset of the entry."""
-        return int.from_bytes(self.raw[at : at + 2], "little")
+    def u16(self, offset: int) -> int:
+        """Return the 16-bit integer at a byte offset of the entry."""
+        return int.from_bytes(self.raw[offset : offset + 2], "little")
 
-    def u32(self, at: int) -> int:
-        """Return the 32-bit number at a byte offset of the entry."""
-        return int.from_bytes(self.raw[at : at + 4], "little")
+    def u32(self, offset: int) -> int:
+        """Return the 32-bit integer at a byte offset of the entry."""
+        return int.from_bytes(self.raw[offset : offset + 4], "little")
 
-    def u64(self, at: int) -> int:
-        """Return the 64-bit number at a byte offset of the entry."""
-        return int.from_bytes(self.raw[at : at + 8], "little")
+    def u64(self, offset: int) -> int:
+        """Return the 64-bit integer at a byte offset of the entry."""
+        return int.from_bytes(self.raw[offset : offset + 8], "little")
 
     @property
     def lba(self) -> int:
@@ -150,76 +150,76 @@
 SUBMISSION_ENTRY = struct.Struct("<BBHI16xQI3xB24s")
 
 
-def parse_command(found: Pdu) -> Command:
-    """Parse a command capsule; raises PduError if it is fused or its descriptor and data do not match."""
-    raw = found.header
-    opcode, flags, cid, nsid, _, length, sgl, _ = SUBMISSION_ENTRY.unpack(raw)
-    if flags & FUSED_FLAGS:
-        raise PduError("fused commands are not supported", BAD_FIELD, COMMAND_FLAGS_OFFSET)
-    if sgl == IN_CAPSULE_SGL and length != len(found.data):
-        raise PduError("in-capsule length differs from the PDU's", BAD_FIELD, SGL_LENGTH_OFFSET)
-    if sgl != IN_CAPSULE_SGL and found.data:
-        raise PduError("capsule data without a descriptor", BAD_FIELD, SGL_TYPE_OFFSET)
-    return Command(opcode, cid, nsid & 0xFF if opcode == FABRICS else nsid, sgl, length, raw)
+def parse_command(received: Pdu) -> Command:
+    """Parse a command capsule; raises PduError for unsupported flags or a wrong SGL descriptor."""
+    raw = received.header
+    opcode, flags, cid, nsid, _, length, sgl_type, _ = SUBMISSION_ENTRY.unpack(raw)
+    if flags & UNSUPPORTED_FLAGS:
+        raise PduError("fused operation or reserved command flags", BAD_FIELD, COMMAND_FLAGS_OFFSET)
+    if sgl_type == IN_CAPSULE_SGL and length != len(received.data):
+        raise PduError("SGL length does not match the in-capsule data", BAD_FIELD, SGL_LENGTH_OFFSET)
+    if sgl_type != IN_CAPSULE_SGL and received.data:
+        raise PduError("in-capsule data without an in-capsule SGL descriptor", BAD_FIELD, SGL_TYPE_OFFSET)
+    return Command(opcode, cid, nsid & 0xFF if opcode == FABRICS else nsid, sgl_type, length, raw)
 
 
 def command(
     opcode: int, cid: int, nsid: int = 0, rest: bytes = b"", length: int = 0, data: bytes = b""
 ) -> bytes:
-    """Encode a command capsule; `rest` holds the command dwords from 10 on.
+    """Encode a command capsule; `rest` holds the command dwords 10 to 15.
 
-    `data` is carried in the capsule.  Without it `length` bytes are transferred in data PDUs, to the
-    controller or back.
+    `data` is carried in the capsule.  Without it, `length` bytes are transferred in data PDUs, in either
+    direction.
     """
-    sgl = TRANSPORT_SGL if length else 0
+    sgl_type = TRANSPORT_SGL if length else 0
     if data:
-        sgl = IN_CAPSULE_SGL
-    entry = SUBMISSION_ENTRY.pack(opcode, SGL_IN_COMMAND, cid, nsid, 0, len(data) or length, sgl, rest)
+        sgl_type = IN_CAPSULE_SGL
+    entry = SUBMISSION_ENTRY.pack(opcode, PSDT_SGL, cid, nsid, 0, len(data) or length, sgl_type, rest)
     return pdu(CAPSULE, entry, data)
 
 
 def io_command(
     opcode: int, cid: int, nsid: int, lba: int, blocks: int, length: int, data: bytes = b""
 ) -> bytes:
-    """Encode a read or write of logical blocks; `length` and `data` are those of `command`."""
+    """Encode a read or write of logical blocks; `length` and `data` are as in `command`."""
     return command(opcode, cid, nsid, struct.pack("<QH", lba, blocks - 1), length, data)
 
 
 def connect(
     cid: int,
-    queue: int,
-    entries: int,
-    keep_alive: float,
-    controller: int,
-    host: bytes,
-    subsystem: str,
-    host_name: str,
+    queue_id: int,
+    entry_count: int,
+    keep_alive_seconds: float,
+    controller_id: int,
+    host_id: bytes,
+    subsystem_nqn: str,
+    host_nqn: str,
 ) -> bytes:
     """Encode a Fabrics Connect command with its data.
 
-    `queue` is the queue's id, `entries` its size, `keep_alive` a timeout in seconds, `controller` the id of
-    the controller and `host` the host's id of 16 bytes.
+    `entry_count` is the size of the queue, `keep_alive_seconds` the keep alive timeout (KATO) and `host_id`
+    an identifier of 16 bytes.
     """
-    data = host.ljust(16, b"\0")[:16] + struct.pack("<H238x", controller)
-    data += subsystem.encode().ljust(256, b"\0") + host_name.encode().ljust(256, b"\0") + bytes(256)
-    command_dwords = struct.pack("<HHHBxI", 0, queue, entries - 1, 0, round(keep_alive * 1000))
+    data = host_id.ljust(16, b"\0")[:16] + struct.pack("<H238x", controller_id)
+    data += subsystem_nqn.encode().ljust(256, b"\0") + host_nqn.encode().ljust(256, b"\0") + bytes(256)
+    command_dwords = struct.pack("<HHHBxI", 0, queue_id, entry_count - 1, 0, round(keep_alive_seconds * 1000))
     return command(FABRICS, cid, CONNECT, command_dwords, data=data)
 
 
 class ConnectData(NamedTuple):
-    """What the data of a Connect command states: the controller's id and both qualified names."""
+    """The data of a Connect command: the controller identifier and both NVMe qualified names."""
 
-    controller: int
-    subsystem: str
-    host_name: str
+    controller_id: int
+    subsystem_nqn: str
+    host_nqn: str
 
 
 def parse_connect(data: bytes) -> ConnectData:
-    """Parse the data of a Connect command, which must have CONNECT_SIZE bytes."""
+    """Parse the data of a Connect command, which must have CONNECT_DATA_BYTES bytes."""
     return ConnectData(
-        controller=int.from_bytes(data[16:18], "little"),
-        subsystem=_decode_name(data[256:512]),
-        host_name=_decode_name(data[512:768]),
+        controller_id=int.from_bytes(data[16:18], "little"),
+        subsystem_nqn=_decode_name(data[256:512]),
+        host_nqn=_decode_name(data[512:768]),
     )
 
 
@@ -228,7 +228,7 @@
 
 
 def property_get(cid: int, offset: int, wide: bool = False) -> bytes:
-    """Encode a Fabrics Property Get command; `wide` properties have 8 bytes instead of 4."""
+    """Encode a Fabrics Property Get command; `wide` selects a property of 8 bytes instead of 4."""
     return command(FABRICS, cid, PROPERTY_GET, struct.pack("<B3xI", wide, offset))
 
 
@@ -238,13 +238,13 @@
 
 
 def capabilities() -> int:
-    """Return the property CAP: queue entries, contiguous queues, a timeout of 5 s, the NVM command set."""
-    return (IO_ENTRIES - 1) | 1 << 16 | 10 << 24 | 1 << 37
+    """Return the property CAP: queue size, contiguous queues, a timeout of 5 s and the NVM command set."""
+    return (MAX_IO_QUEUE_ENTRIES - 1) | 1 << 16 | 10 << 24 | 1 << 37
 
 
 @dataclass(slots=True, frozen=True)
 class Completion:
-    """A completion queue entry; `delay` is the index of a Command Retry Delay from 1 on, 0 for none."""
+    """A completion queue entry; `delay` is the 1-based index of a Command Retry Delay, 0 for none."""
 
     cid: int
     status: int = OK
@@ -253,15 +253,17 @@
     no_retry: bool = False
 
 
-def completion(entry: Completion, queue: int, head: int) -> bytes:
-    """Encode a response capsule; `queue` is the submission queue's id and `head` its head pointer."""
+def completion(entry: Completion, queue_id: int, submission_head: int) -> bytes:
+    """Encode a response capsule; `queue_id` names the submission queue, `submission_head` is its head."""
     status_field = entry.status << 1 | entry.delay << 12 | entry.no_retry << 15
-    return pdu(RESPONSE, COMPLETION_ENTRY.pack(entry.result, head, queue, entry.cid, status_field))
+    return pdu(
+        RESPONSE, COMPLETION_ENTRY.pack(entry.result, submission_head, queue_id, entry.cid, status_field)
+    )
 
 
-def parse_completion(found: Pdu) -> Completion:
+def parse_completion(received: Pdu) -> Completion:
     """Parse a response capsule."""
-    result, _, _, cid, status_field = COMPLETION_ENTRY.unpack(found.header)
+    result, _, _, cid, status_field = COMPLETION_ENTRY.unpack(received.header)
     return Completion(
         cid=cid,
         status=status_field >> 1 & 0x7FF,
@@ -273,25 +275,25 @@
 
 # --- Identify -------------------------------------------------------------------------------------
 def identify_controller(
-    controller: int, name: str, subsystem: str, delays: tuple[int, int, int], namespaces: int
+    controller_id: int, serial: str, subsystem_nqn: str, delays: tuple[int, int, int], max_nsid: int
 ) -> bytes:
     """Encode the Identify Controller data; `delays` are the Command Retry Delays in units of 100 ms."""
     page = bytearray(IDENTIFY_SIZE)
-    page[4:24] = name.encode()[:20].ljust(20)
+    page[4:24] = serial.encode()[:20].ljust(20)
     page[24:64] = b"stalltiller".ljust(40)
     page[64:72] = b"1".ljust(8)
-    page[77] = (MAX_DATA // PAGE).bit_length() - 1  # MDTS
-    struct.pack_into("<HI", page, 78, controller, VERSION)
-    page[111] = 1  # an I/O controller
+    page[77] = (MAX_DATA // MEMORY_PAGE_BYTES).bit_length() - 1  # MDTS
+    struct.pack_into("<HI", page, 78, controller_id, VERSION)
+    page[111] = 1  # CNTRLTYPE: I/O controller
     struct.pack_into("<3H", page, 128, *delays)
-    page[258] = 3  # abort command limit
-    struct.pack_into("<H", page, 320, 10)  # keep alive granularity
-    page[512], page[513] = 0x66, 0x44
-    struct.pack_into("<HI", page, 514, IO_ENTRIES, namespaces)
-    struct.pack_into("<I", page, 536, 1 << 20 | 1)  # SGLs, with offsets into the capsule
-    page[768:1024] = subsystem.encode()[:255].ljust(256, b"\0")
-    struct.pack_into("<II", page, 1792, (IN_CAPSULE + 64) // 16, 1)
-    page[1803] = 1
+    page[258] = 3  # ACL, zero-based
+    struct.pack_into("<H", page, 320, 10)  # KAS: keep alive granularity in units of 100 ms
+    page[512], page[513] = 0x66, 0x44  # SQES and CQES: entries of 64 and 16 bytes
+    struct.pack_into("<HI", page, 514, MAX_IO_QUEUE_ENTRIES, max_nsid)
+    struct.pack_into("<I", page, 536, 1 << 20 | 1)  # SGLS: SGLs, with offsets into the capsule
+    page[768:1024] = subsystem_nqn.encode()[:255].ljust(256, b"\0")
+    struct.pack_into("<II", page, 1792, (IN_CAPSULE + 64) // 16, 1)  # IOCCSZ, IORCSZ
+    page[1803] = 1  # MSDBD
     return bytes(page)
 
 
@@ -304,7 +306,7 @@
 
 
 def active_namespaces(ids: list[int], after: int) -> bytes:
-    """Encode the list of active namespaces with ids above `after`."""
+    """Encode the list of active namespace identifiers greater than `after`."""
     page = bytearray(IDENTIFY_SIZE)
     active_ids = [namespace_id for namespace_id in sorted(ids) if namespace_id > after][: IDENTIFY_SIZE // 4]
     struct.pack_into(f"<{len(active_ids)}I", page, 0, *active_ids)
@@ -312,7 +314,7 @@
 
 
 def capsule_limit(page: bytes) -> int:
-    """Return how many bytes of data a controller accepts in a capsule, from its Identify data (IOCCSZ)."""
+    """Return the limit on in-capsule data in bytes, from Identify Controller data (IOCCSZ)."""
     return max(0, int.from_bytes(page[1792:1796], "little") * 16 - 64)
 
 
--- a/tests/test_nvme_controller.py
+++ b/tests/test_nvme_controller.py
@@ -126,7 +126,7 @@
         admin.writer.write(nvme.command(nvme.IDENTIFY, 6, 1, bytes([nvme.CNS_NAMESPACE]), 4096))
         page = (await admin.next()).data
         assert struct.unpack_from("<Q", page)[0] == 1 << 40 and 1 << page[130] == BLOCK
-        admin.writer.write(nvme.command(nvme.IDENTIFY, 7, 0, bytes([nvme.CNS_ACTIVE]), 4096))
+        admin.writer.write(nvme.command(nvme.IDENTIFY, 7, 0, bytes([nvme.CNS_ACTIVE_NAMESPACES]), 4096))
         await next_completion(admin)
         assert struct.unpack_from("<3I", (await admin.next()).data) == (1, 2, 0)
 
