--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients that give up early and repeat at once."""
+"""Scheduling for clients that have short timeouts and retry immediately."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
     return harness.scheduler.pending[number]
 
 
-def test_a_first_try_with_a_short_timeout_has_the_whole_objective():
+def test_a_timeout_below_the_objective_is_not_taken_for_a_retry():
     harness = SchedulerHarness(targets=(entry(1, status=TargetStatus.DRAINING),))  # nothing can be sent
     harness.feed(0.0, request(1, time_remaining=3.0))
-    harness.feed(0.1, request(2, time_remaining=0.9))  # no later try of a client that waits for the objective
+    harness.feed(0.1, request(2, time_remaining=0.9))  # a retry would have at least the objective left
     assert pending_request(harness, 2).due_at == pytest.approx(0.1 + 0.9 - scheduler.ANSWER_MARGIN_SECONDS)
 
 
-def test_a_later_try_has_the_remainder_of_the_objective():
+def test_a_retry_has_the_remainder_of_the_objective():
     harness = SchedulerHarness(targets=(entry(1, status=TargetStatus.DRAINING),))
     harness.feed(0.0, request(1, time_remaining=3.0))
     harness.feed(0.1, request(2, time_remaining=2.5))
     assert pending_request(harness, 2).due_at == pytest.approx(0.6)
 
 
-def test_a_try_that_the_client_will_abandon_is_rejected_at_once_and_never_sent():
+def test_a_request_that_its_client_will_abandon_is_rejected_without_an_attempt():
     harness = SchedulerHarness()
     harness.feed(0.0, request(1))
     target = harness.scheduler.targets[1]
@@ -46,7 +46,7 @@
     assert harness.sends(0.02, request(3, time_remaining=0.4 + scheduler.ABANDONED_FACTOR * 0.4)) == [3]
 
 
-def test_a_short_timeout_does_not_cut_the_concurrency_limit():
+def test_a_short_client_timeout_does_not_reduce_the_concurrency_limit():
     harness = SchedulerHarness()
     harness.feed(0.0, request(1, time_remaining=0.15))
     limit = harness.scheduler.targets[1].concurrency_limit
@@ -54,15 +54,15 @@
     assert harness.scheduler.targets[1].concurrency_limit == limit
 
 
-def test_an_excessive_client_timeout_does_not_make_other_requests_late():
-    """One X-Timeout of a minute made every later request a late try, rejected at once."""
+def test_an_excessive_client_timeout_does_not_affect_later_requests():
+    """Guards against one X-Timeout of a minute turning every later request into a rejected late retry."""
     harness = SchedulerHarness()
     harness.feed(0.0, request(1, time_remaining=60.0))
     assert harness.sends(0.1, request(2, time_remaining=3.0)) == [2]
     assert pending_request(harness, 2).due_at == pytest.approx(1.1)
 
 
-def test_a_request_that_reached_no_target_is_rejected_before_half_of_its_time():
+def test_a_request_that_reached_no_target_is_rejected_before_half_of_its_timeout():
     harness = SchedulerHarness(targets=(entry(1, status=TargetStatus.DRAINING),))  # nothing can be sent
     harness.feed(0.0, request(1, time_remaining=0.9))
     assert harness.poll(0.40) == []
@@ -76,24 +76,24 @@
     )
 
 
-def test_unused_volumes_and_shards_are_forgotten():
-    """Tables by volume and shard only grew while both were ever new."""
+def test_state_of_unused_volumes_and_shards_is_removed():
+    """Guards against tables by volume and shard that grow without bound as new ones appear."""
     harness = SchedulerHarness(targets=tuple(entry(n) for n in range(50)))
     for n in range(50):
         harness.feed(n * 0.01, request(n, volume=n, shard=n))
         harness.feed(n * 0.01 + 0.005, outcome(n, target_id=n))
-    later = 1.0 + scheduler.FORGET_SECONDS
-    harness.feed(later, request(99, volume=99, shard=1))
+    forgotten_at = 1.0 + scheduler.FORGET_SECONDS
+    harness.feed(forgotten_at, request(99, volume=99, shard=1))
     assert set(harness.scheduler.volumes) == {99} and set(harness.scheduler.contention.requested_at) == {1}
     assert sum(len(target.allocations) for target in harness.scheduler.targets.values()) == 1
 
 
-def test_a_read_overtaken_by_later_answers_is_cancelled_and_retried():
-    """Attempts on silent connections counted as in flight until their objective had passed."""
+def test_a_read_overtaken_by_later_responses_is_cancelled_and_retried():
+    """Guards against attempts on stalled connections that stay in flight until their objective has passed."""
     harness = SchedulerHarness()
     target = harness.scheduler.targets[1]
     assert harness.sends(0.0, *(request(n) for n in range(1, 5))) == [1, 2, 3, 4]
-    target.in_flight[1].sent_at = -0.01  # the first went a little earlier
+    target.in_flight[1].sent_at = -0.01  # sent slightly before the others
     harness.feed(0.02, *(outcome(n, latency=0.02) for n in (2, 3, 4)))
     assert target.in_flight[1].overtaken_count == target_load.OVERTAKEN_COUNT
     limit = target.concurrency_limit
@@ -101,11 +101,11 @@
     lost_after = scheduler.LOST_FACTOR * target.latency * harness.scheduler.relative_latency["read"]
     lost_after += scheduler.LOST_MARGIN_SECONDS
     assert harness.poll(lost_after) == [CancelAttempt(1, 0)]
-    assert harness.poll(lost_after + 0.01) == []  # once
+    assert harness.poll(lost_after + 0.01) == []  # cancelled only once
     assert harness.sends(
         lost_after + 0.02, outcome(1, status=AttemptStatus.CANCELLED, request_done=False, latency=lost_after)
     ) == [1]
-    assert target.concurrency_limit == limit  # the target is no fuller for it
+    assert target.concurrency_limit == limit  # a cancelled attempt is no sign of load
 
 
 def test_an_overtaken_unsafe_write_is_not_cancelled():
@@ -116,15 +116,15 @@
     assert harness.poll(0.9) == []
 
 
-def test_a_reset_does_not_cut_the_concurrency_limit():
+def test_a_connection_reset_does_not_reduce_the_concurrency_limit():
     harness = SchedulerHarness()
     harness.feed(0.0, request(1))
     harness.feed(0.3, outcome(1, status=AttemptStatus.RESET, request_done=False, latency=0.3))
     assert harness.scheduler.targets[1].concurrency_limit == state.INITIAL_CONCURRENCY
 
 
-def test_a_target_that_seemed_too_slow_is_tried_again():
-    """With a mean latency over every objective it got no request, so no answer could lower the mean."""
+def test_a_target_with_high_measured_latency_is_tried_again():
+    """Guards against a mean latency above every objective that never falls because no attempt is made."""
     harness = SchedulerHarness()
     harness.feed(0.0, request(1))
     harness.feed(0.1, outcome(1))
--- a/tests/test_http_and_nvme.py
+++ b/tests/test_http_and_nvme.py
@@ -1,4 +1,4 @@
-"""The rules on real sockets, independent of the protocol: each test runs unchanged over HTTP and NVMe/TCP."""
+"""Protocol-independent behaviour over real sockets: each test runs unchanged over HTTP and NVMe/TCP."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 
 
 @pytest.fixture(params=["http", "nvme"])
-def run(request):
-    """Run a scene in a world of each protocol."""
+def run_scenario(request):
+    """Return a function that runs a scenario over the protocol of the parameter."""
 
-    def run_in_world(scene, **changes):
-        async def run_scene():
+    def run_with_protocol(scenario, **changes):
+        async def run_with_timeout():
             async with World(request.param, **changes) as world:
-                await asyncio.wait_for(scene(world), 20)
+                await asyncio.wait_for(scenario(world), 20)
                 assert world.faults() == []
 
-        asyncio.run(run_scene())
+        asyncio.run(run_with_timeout())
 
-    return run_in_world
+    return run_with_protocol
 
 
-def test_a_read_returns_the_targets_data(run):
-    async def scene(world):
+def test_a_read_returns_the_targets_data(run_scenario):
+    async def scenario(world):
         result = await world.read(tag=5)
         assert (result.end, result.data[:BLOCK]) == ("served", Target.content(5, BLOCK))
         assert world.targets[1].begun == []
 
-    run(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("size", [BLOCK, 65536])
-def test_a_write_reaches_its_target_once_and_complete(run, size):
-    async def scene(world):
+def test_a_write_reaches_its_target_once_and_complete(run_scenario, size):
+    async def scenario(world):
         assert (await world.write(tag=6, shard=1, size=size)).end == "served"
         assert world.targets[1].ran == [(6, Target.content(6, size))]
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_every_request_is_answered_before_its_deadline(run):
-    async def scene(world):
+def test_every_request_gets_a_response_before_its_deadline(run_scenario):
+    async def scenario(world):
         world.targets[0].mode = "silent"
         results = await asyncio.gather(
             *(world.read(tag) for tag in range(8)), *(world.write(tag) for tag in range(8, 16))
@@ -53,32 +53,32 @@
         assert {result.end for result in results} <= {"refused", "failed"}
         assert max(result.elapsed for result in results) < DEADLINE
 
-    run(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("mode", ["silent", "break", "error"])
-def test_a_possibly_executed_write_fails_and_is_never_retried(run, mode):
-    async def scene(world):
+def test_a_possibly_executed_write_fails_and_is_never_retried(run_scenario, mode):
+    async def scenario(world):
         world.targets[0].mode = mode
         assert (await world.write(tag=3)).end == "failed"
         await asyncio.sleep(DEADLINE)
         assert [tag for tag, _ in world.targets[0].ran] == [3]
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_a_write_that_times_out_mid_transfer_is_never_retried(run):
-    async def scene(world):
+def test_a_write_that_times_out_mid_transfer_is_never_retried(run_scenario):
+    async def scenario(world):
         world.targets[0].mode = "stall"
         assert (await world.write(tag=3, size=65536)).end == "failed"
         await asyncio.sleep(DEADLINE)
         assert [tag for _, tag in world.targets[0].begun] == [3] and world.targets[0].ran == []
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_a_write_rejected_before_execution_is_retried(run):
-    async def scene(world):
+def test_a_write_rejected_before_execution_is_retried(run_scenario):
+    async def scenario(world):
         target = world.targets[0]
         target.mode = "turn_away"
         request_task = asyncio.create_task(world.write(tag=4))
@@ -87,11 +87,11 @@
         assert (await request_task).end == "served"
         assert [tag for tag, _ in target.ran] == [4]
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_a_read_may_be_retried_but_never_concurrently(run):
-    async def scene(world):
+def test_a_failed_read_is_retried_but_never_concurrently(run_scenario):
+    async def scenario(world):
         target = world.targets[0]
         target.mode, target.delay = "error", 0.02
         request_task = asyncio.create_task(world.read(tag=4))
@@ -100,33 +100,35 @@
         assert (await request_task).end == "served"
         assert target.max_in_flight == 1
 
-    run(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("write", [False, True])
-def test_a_request_given_up_is_rejected_at_once_with_retry_after(run, write):
-    async def scene(world):
+def test_a_request_that_its_target_rejects_is_rejected_with_retry_after(run_scenario, write):
+    async def scenario(world):
         world.targets[0].mode = "turn_away"
         result = await (world.write() if write else world.read())
         assert result.end == "refused"
         assert 0 < result.retry_after <= MAX_RETRY_AFTER
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_a_write_to_an_unreachable_target_is_rejected(run):
-    async def scene(world):
+def test_a_write_to_an_unreachable_target_is_rejected(run_scenario):
+    async def scenario(world):
         world.targets[0].close()
         await asyncio.sleep(0)
         result = await world.write()
         assert result.end == "refused" and result.elapsed < DEADLINE
 
-    run(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("status", ["leaving", "left"])
-def test_a_drain_stops_new_commands_and_lets_those_in_flight_finish(run, status):
-    async def scene(world):
+def test_a_draining_or_removed_target_gets_no_new_requests_and_completes_those_in_flight(
+    run_scenario, status
+):
+    async def scenario(world):
         target = world.targets[0]
         target.delay = 0.1
         request_task = asyncio.create_task(world.read(tag=1))
@@ -142,11 +144,11 @@
         await world.until(lambda: len([line for line in world.logged if line["event"] == "list"]) > 2)
         assert (await world.read(tag=9)).end == "served"
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_the_write_of_a_disconnected_client_is_not_retried(run):
-    async def scene(world):
+def test_the_write_of_a_disconnected_client_is_not_retried(run_scenario):
+    async def scenario(world):
         target = world.targets[0]
         target.mode = "silent"
         request_task = asyncio.create_task(world.write(tag=2))
@@ -158,22 +160,22 @@
         assert [tag for _, tag in target.begun] == [2, 3]
         assert world.app.engine.counts["gone"] == 1
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_a_limited_volume_gets_no_more_than_its_limit(run):
-    async def scene(world):
+def test_a_volume_does_not_exceed_its_rate_limit(run_scenario):
+    async def scenario(world):
         started_at = time.monotonic()
         results = await asyncio.gather(*(world.read(tag) for tag in range(60)))
-        elapsed = time.monotonic() - started_at + 1.0  # the initiator was up for a little while before
+        elapsed = time.monotonic() - started_at + 1.0  # margin for the time that the initiator ran before
         assert len(world.targets[0].ran) <= 10.0 * elapsed
         assert any(result.end == "refused" for result in results)
 
-    run(scene, plans=(plan(rate=5.0, limit=10.0, burst=20.0, slack=2.0),))
+    run_scenario(scenario, plans=(plan(rate=5.0, limit=10.0, burst=20.0, slack=2.0),))
 
 
-def test_a_stop_finishes_accepted_requests(run):
-    async def scene(world):
+def test_shutdown_completes_accepted_requests(run_scenario):
+    async def scenario(world):
         world.targets[0].delay = 0.2
         request_task = asyncio.create_task(world.read())
         await world.until(lambda: world.targets[0].begun)
@@ -181,13 +183,13 @@
         assert (await request_task).end == "served"
         await asyncio.wait_for(asyncio.shield(world.running), 10)
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_a_stop_waits_for_the_last_response_however_late(run):
-    """A fixed bound below the longest deadline would lose the responses that it cut off."""
+def test_shutdown_waits_for_the_latest_response(run_scenario):
+    """Guards against a fixed shutdown timeout below the longest deadline, which would lose late responses."""
 
-    async def scene(world):
+    async def scenario(world):
         world.targets[0].mode = "silent"
         world.app.stop.set()
         request_task = asyncio.create_task(world.read())
@@ -196,14 +198,14 @@
         await asyncio.wait_for(asyncio.shield(world.running), 10)
         assert world.app.engine.open_request_count == 0
 
-    run(scene)
+    run_scenario(scenario)
 
 
-def test_units_follow_from_the_size(run):
-    async def scene(world):
+def test_units_are_derived_from_the_request_size(run_scenario):
+    async def scenario(world):
         assert (await world.read(units=3)).end == "served"
         (volume,) = world.app.engine._scheduler.volumes.values()
         assert volume.served.total == pytest.approx(3.0, rel=0.2)
         assert PER_UNIT * BLOCK * 3 < 65536
 
-    run(scene)
+    run_scenario(scenario)
--- a/tests/test_nvme_controller.py
+++ b/tests/test_nvme_controller.py
@@ -1,4 +1,4 @@
-"""Behaviour of the NVMe controller and target client alone, on real sockets."""
+"""Tests of behaviour specific to the NVMe controller and target client, over real sockets."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from tests.stand_ins import BLOCK, Pdus, World
 
 
-def play(scene, **changes):
+def run_scenario(scenario, **changes):
     async def run():
         async with World("nvme", **changes) as world:
-            await asyncio.wait_for(scene(world, world.client), 20)
+            await asyncio.wait_for(scenario(world, world.client), 20)
             assert world.faults() == []
 
     asyncio.run(run())
@@ -32,7 +32,7 @@
 
 
 async def read_termination(stream: Pdus) -> int:
-    """Read on to the TermReq and the end of the connection: the fatal error status."""
+    """Read up to the TermReq and the end of the connection; return the fatal error status."""
     while (pdu := await stream.next()).kind != nvme.C2H_TERM:
         pass
     assert await stream.reader.read() == b""
@@ -48,10 +48,10 @@
         (read(4) + read(4), nvme.BAD_FIELD),
         (b"".join(read(cid) for cid in range(1, 17)), nvme.BAD_SEQUENCE),
     ],
-    ids=["type", "greeting", "data", "id", "queue"],
+    ids=["unknown_type", "second_icreq", "unrequested_data", "duplicate_command_id", "queue_overflow"],
 )
-def test_a_malformed_pdu_ends_its_association_alone(raw, status):
-    async def scene(world, client):
+def test_a_malformed_pdu_closes_only_its_own_association(raw, status):
+    async def scenario(world, client):
         world.targets[0].mode = "silent"
         _, other = await client.associate()
         admin, io = await client.associate()
@@ -63,13 +63,13 @@
         assert (await next_completion(other)).status == nvme.OK
         await world.until(lambda: world.app.engine.open_request_count == 0)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_connection_without_its_connect_command_is_closed_in_time(monkeypatch):
+def test_a_connection_that_sends_no_connect_command_is_closed_after_the_timeout(monkeypatch):
     monkeypatch.setattr("stalltiller.transport.listener.FIRST_REQUEST_TIMEOUT_SECONDS", 0.1)
 
-    async def scene(world, client):
+    async def scenario(world, client):
         reader, writer = await asyncio.open_connection("127.0.0.1", client.port)
         _, io = await client.associate()
         assert await reader.read() == b""
@@ -77,16 +77,16 @@
         assert (await next_completion(io)).status == nvme.OK
         writer.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_the_first_pdu_must_be_icreq():
-    async def scene(world, client):
+    async def scenario(world, client):
         reader, writer = await asyncio.open_connection("127.0.0.1", client.port)
         writer.write(read(1))
         assert await read_termination(Pdus(reader, writer, nvme.FROM_CONTROLLER)) == nvme.BAD_SEQUENCE
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -99,18 +99,18 @@
     ],
 )
 def test_an_invalid_command_is_completed_with_do_not_retry(raw, status):
-    async def scene(world, client):
+    async def scenario(world, client):
         _, io = await client.associate()
         io.writer.write(raw)
-        done = await next_completion(io)
-        assert (done.cid, done.status, done.no_retry) == (1, status, True)
+        completion = await next_completion(io)
+        assert (completion.cid, completion.status, completion.no_retry) == (1, status, True)
         assert world.app.engine.counts["taken"] == 0
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_properties_identify_keep_alive_and_unknown_admin_commands():
-    async def scene(world, client):
+def test_admin_commands_return_their_status_result_and_data():
+    async def scenario(world, client):
         admin, _ = await client.associate()
         for raw, expected in [
             (nvme.property_get(5, nvme.CSTS), (nvme.OK, nvme.CSTS_READY)),
@@ -121,8 +121,8 @@
             (nvme.command(nvme.ABORT, 5, rest=struct.pack("<HH", 1, 99)), (nvme.OK, 1)),
         ]:
             admin.writer.write(raw)
-            done = await next_completion(admin)
-            assert (done.status, done.result) == expected
+            completion = await next_completion(admin)
+            assert (completion.status, completion.result) == expected
         admin.writer.write(nvme.command(nvme.IDENTIFY, 6, 1, bytes([nvme.CNS_NAMESPACE]), 4096))
         page = (await admin.next()).data
         assert struct.unpack_from("<Q", page)[0] == 1 << 40 and 1 << page[130] == BLOCK
@@ -130,11 +130,11 @@
         await next_completion(admin)
         assert struct.unpack_from("<3I", (await admin.next()).data) == (1, 2, 0)
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_abort_counts_as_a_client_disconnect():
-    async def scene(world, client):
+    async def scenario(world, client):
         world.targets[0].mode = "silent"
         admin, io = await client.associate()
         io.writer.write(read(4))
@@ -147,11 +147,11 @@
         io.writer.write(read(4))
         assert (await next_completion(io)).status == nvme.OK
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_disabled_controller_closes_its_io_queues_and_can_be_enabled_again():
-    async def scene(world, client):
+def test_disabling_the_controller_closes_its_io_queues_and_it_can_be_reenabled():
+    async def scenario(world, client):
         world.targets[0].mode = "silent"
         admin, io = await client.associate()
         io.writer.write(read(4))
@@ -161,33 +161,33 @@
         assert await io.reader.read() == b"" and world.app.engine.open_request_count == 0
         admin.writer.write(nvme.property_set(5, nvme.CC, nvme.CC_ENABLE))
         assert (await next_completion(admin)).status == nvme.OK
-        (number,) = world.app.server.associations
-        io, _ = await client.queue(1, number)
+        (controller_id,) = world.app.server.associations
+        io, _ = await client.queue(1, controller_id)
         world.targets[0].mode = "serve"
         io.writer.write(read(5))
         assert (await next_completion(io)).status == nvme.OK
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_data_that_arrives_after_an_abort_is_ignored():
-    async def scene(world, client):
+    async def scenario(world, client):
         admin, io = await client.associate()
         io.writer.write(nvme.io_command(nvme.WRITE, 4, 1, 8, 32, 32 * BLOCK))
         assert (await io.next()).kind == nvme.R2T
         admin.writer.write(nvme.command(nvme.ABORT, 5, rest=struct.pack("<HH", 1, 4)))
-        done = await next_completion(io)
-        assert (done.status, done.no_retry) == (nvme.ABORTED, True)
+        completion = await next_completion(io)
+        assert (completion.status, completion.no_retry) == (nvme.ABORTED, True)
         io.writer.write(nvme.data_pdu(nvme.H2C_DATA, 4, 4, 0, bytes(32 * BLOCK)))
         io.writer.write(read(5))
         assert (await next_completion(io)).cid == 5
         assert [tag for _, tag in world.targets[0].begun] == [1]
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_lost_queue_ends_the_association_and_its_commands():
-    async def scene(world, client):
+def test_losing_a_queue_closes_the_association_and_cancels_its_commands():
+    async def scenario(world, client):
         world.targets[0].mode = "silent"
         admin, io = await client.associate()
         io.writer.write(read(4) + read(5))
@@ -197,23 +197,23 @@
         await world.until(lambda: world.app.engine.open_request_count == 0)
         assert world.app.engine.counts["gone"] == 2 and world.app.server.command_data_budget.reserved == 0
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_host_silent_past_its_keep_alive_timeout_is_disconnected():
-    async def scene(world, client):
+def test_a_host_that_exceeds_its_keep_alive_timeout_is_disconnected():
+    async def scenario(world, client):
         admin, _ = await client.queue(0, nvme.DYNAMIC, keep_alive=0.05)
         assert await admin.reader.read() == b""
         assert world.app.server.associations == {}
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
     "malformed_pdu", [b"\x77" + bytes(7), nvme.data_pdu(nvme.C2H_DATA, 77, 0, 0, b"data")]
 )
-def test_a_malformed_response_of_a_target_is_logged_and_the_write_fails(malformed_pdu):
-    async def scene(world, client):
+def test_a_malformed_target_response_is_logged_and_the_write_fails(malformed_pdu):
+    async def scenario(world, client):
         async def act(tag, data):
             for writer in list(world.targets[0].writers):
                 writer.write(malformed_pdu)
@@ -224,50 +224,50 @@
         assert any(line["event"] == "bad_response" for line in world.logged)
         assert world.app.engine.counts["attempts"] == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_target_without_in_capsule_data_requests_it_by_r2t():
-    async def scene(world, client):
+    async def scenario(world, client):
         world.targets[0].capsule = 0
         assert (await world.write(tag=3)).end == "served"
         assert [tag for tag, _ in world.targets[0].ran] == [3]
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_stalled_response_is_aborted_and_the_read_retried():
-    async def scene(world, client):
-        target, command = world.targets[0], world.targets[0].command
+def test_a_stalled_read_response_is_aborted_and_the_read_retried():
+    async def scenario(world, client):
+        target, original_command = world.targets[0], world.targets[0].command
 
-        async def stop_short(stream, request, data):
+        async def stall_mid_response(stream, request, data):
             if request.opcode != nvme.READ:
-                return await command(stream, request, data)
+                return await original_command(stream, request, data)
             stream.writer.write(nvme.data_pdu(nvme.C2H_DATA, request.cid, 0, 0, bytes(BLOCK)))
-            target.command = command
+            target.command = original_command
             await asyncio.sleep(10)
             return None
 
-        target.command = stop_short
+        target.command = stall_mid_response
         result = await world.read()
         assert result.end == "served"
         assert world.app.engine.counts["attempt_error"] == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_unread_completions_are_limited_by_a_memory_budget():
-    async def scene(world, client):
+def test_a_host_that_exceeds_the_unread_response_budget_is_disconnected():
+    async def scenario(world, client):
         admin, io = await client.associate()
         world.app.server.unread_response_budget._max_bytes = 50_000
         (association,) = world.app.server.associations.values()
         transport = association.queues[1].transport
-        for end, option in ((transport, socket.SO_SNDBUF), (io.writer, socket.SO_RCVBUF)):
-            end.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, option, 4096)
+        for endpoint, option in ((transport, socket.SO_SNDBUF), (io.writer, socket.SO_RCVBUF)):
+            endpoint.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, option, 4096)
         io.writer.transport.pause_reading()
         for cid in range(1, 16):
             io.writer.write(read(cid, blocks=128))
         await world.until(lambda: world.app.server.associations == {})
         assert world.app.server.unread_response_budget.reserved == 0
 
-    play(scene)
+    run_scenario(scenario)
