--- a/stalltiller/adapters/__init__.py
+++ b/stalltiller/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""The adapters of HTTP and NVMe/TCP: each joins its connections to the engine by `routing.ports`."""
+"""HTTP and NVMe/TCP adapters, which connect clients and targets to the engine through `routing.ports`."""
--- a/stalltiller/adapters/http_server.py
+++ b/stalltiller/adapters/http_server.py
@@ -1,8 +1,8 @@
-"""The platform's HTTP/1.1 server side: client connections that submit requests to the engine.
+"""The HTTP/1.1 server for the platform's clients: connections that submit requests to the engine.
 
-Each `ClientConnection` owns the state of its connection; `HttpServer` owns what all of them share: the memory
-budgets, the parser of the platform's fields and the recent request identifiers.  A connection serves one
-request at a time and answers each exactly once.
+Each `ClientConnection` owns the state of its connection; `HttpServer` owns the shared state: the memory
+budgets, the parser of the platform's header fields and the recent request identifiers.  A connection serves
+one request at a time and sends exactly one response to each.
 """
 
 from __future__ import annotations
@@ -25,26 +25,27 @@
 from stalltiller.transport.listener import Listener
 
 READY_PATH = "/healthz"
-UNREAD_TIMEOUT_SECONDS = 5.0  # how long a client may read nothing of its response
+UNREAD_TIMEOUT_SECONDS = 5.0  # a client that reads nothing of its response for longer is disconnected
 
 
 class ClientConnection(Connection):
-    """One client's connection: one request at a time, each answered once."""
+    """One client's connection, which serves one request at a time."""
 
     def __init__(self, server: HttpServer, listener: Listener) -> None:
         super().__init__(server.buffers)
         self._server = server
         self._listener = listener
         self._reader = http.Reader(response=False)
-        self._request_number: int | None = None  # the engine's number of the request in progress
+        self._request_number: int | None = None  # the engine's identifier of the request in progress
         self._keep_alive = True
-        self._rejects_requests = False  # the listener is over its limit: each request gets 503
-        # The client pipelined more than the buffer holds: that is dropped, and this request is its last one.
+        self._rejects_requests = False  # the connection limit is exceeded: each request gets 503
+        # The client pipelined more than the buffer holds: further input is dropped, and the connection closes
+        # after the current request.
         self._discards_input = False
         self._request_timer = RequestTimer(server.loop)
         self._unread_bytes = 0  # reserved in the server's budget of unread responses
         self._body_bytes = 0  # reserved in the server's budget of request bodies
-        self._stream: ResponseStream | None = None  # the response that is being passed on
+        self._stream: ResponseStream | None = None  # the response being streamed
         self._is_chunked = False
         self._http_minor_version = 1
 
@@ -58,7 +59,7 @@
         if self._discards_input:
             return len(data)
         if self._is_busy:
-            return 0  # the next request waits until this one is answered, and its response read
+            return 0  # the next request waits until the response to this one is flushed
         had_head = self._reader.begun
         try:
             consumed = self._reader.feed(data)
@@ -86,7 +87,7 @@
         self._reject_and_close(408, "request not ended")
 
     def _accept_head(self) -> bool:
-        """Return whether the body that follows a head is wanted.
+        """Validate a request's head and return whether to receive its body.
 
         Guards against receiving megabytes of a request that is rejected in the end.
         """
@@ -102,9 +103,10 @@
         return True
 
     def _reserve_body(self, size: int) -> bool:
-        """Reserve memory for a body as it arrives and until its request is answered; 0 gives it back.
+        """Set the memory reserved for the request's body; a size of 0 releases it.
 
-        Small bodies are not counted.  Returns whether the budget suffices.
+        The reservation grows as the body arrives and is held until the response starts.  Bodies of up to
+        SMALL_BODY_BYTES are not counted.  Returns whether the total is within the budget.
         """
         reserved = size if size > SMALL_BODY_BYTES else 0
         change = reserved - self._body_bytes
@@ -116,10 +118,10 @@
         return self._request_number is not None or self._stream is not None or not self.flushed
 
     def on_buffer_full(self) -> None:
-        """Drop what a client pipelines beyond the buffer, and end the connection after this request.
+        """Drop input that a client pipelines beyond the buffer, and close after the current request.
 
-        Guards against a client that pipelines much and leaves: if reading stopped, nobody would see it
-        disconnect, and its requests would be sent to targets.
+        Guards against a client that pipelines a lot and disconnects: with reading paused its disconnect would
+        go unnoticed, and its requests would still be sent to targets.
         """
         if self._is_busy:
             self._discards_input = True
@@ -130,7 +132,7 @@
             self.discard_unread()
 
     def resume_writing(self) -> None:
-        """Go on once the client has read everything that was written."""
+        """Continue once the kernel has accepted everything that was written."""
         self._release_unread()
         super().resume_writing()
         if self._stream is not None:
@@ -157,13 +159,13 @@
         """Close between requests and return whether the connection was idle."""
         if self._is_busy or self._reader.begun:
             return False
-        if self.half_closed or not self.is_clean():  # a request may wait in the kernel's buffer
+        if self.half_closed or not self.is_clean():  # a request may be unread in the kernel's buffer
             return False
         self.close_gracefully()
         return True
 
     def close_gracefully(self) -> None:
-        """Shut down sending after what was written and drop what still arrives."""
+        """Shut down sending once the written bytes are sent, and drop further input."""
         if self.is_closing or self.half_closed:
             return
         self._request_timer.cancel()
@@ -173,20 +175,21 @@
         super().close_gracefully()
 
     def on_request_timeout(self) -> None:
-        """Answer 408 or close: no complete head has arrived in time."""
+        """Respond with 408 or close: no complete request head has arrived in time."""
         if self.half_closed or self.is_closing or self._reader.begun:
-            return  # a body has a time limit of its own
+            return  # `RequestTimer` limits the time for the body
         if not self.close_if_idle():
             self._reject_and_close(408, "request not ended")
 
     def reject_requests(self) -> None:
-        """Answer every further request with 503."""
+        """Respond to every further request with 503."""
         self._rejects_requests = True
 
     def abort_partial_responses(self) -> None:
-        """Reset the connection in the middle of a streamed response.
+        """Reset the connection if a response is being streamed.
 
-        Guards against a response whose completeness only the end of the connection would show.
+        Guards against an orderly close that would make a truncated response look complete when the end of the
+        connection delimits its body.
         """
         if self._stream is not None:
             stream = self._stream
@@ -211,15 +214,15 @@
             self._submit(head, body)
 
     def _submit(self, head: http.Head, body: bytearray) -> None:
-        """Validate a request and hand it to the engine."""
+        """Validate a request and submit it to the engine."""
         try:
-            info = self._server.request_fields.parse(head, body)
+            request_info = self._server.request_fields.parse(head, body)
         except FieldError as error:
-            self._answer_bad_request(400, str(error))
+            self._reject_bad_request(400, str(error))
             return
         request_id = head.fields["x-request-id"]
         if not self._server.recent_request_ids.claim(self._server.loop.time(), request_id):
-            self._answer_bad_request(409, "X-Request-ID is not new")
+            self._reject_bad_request(409, "X-Request-ID is not new")
             return
         payload = Payload(
             method=head.method,
@@ -230,16 +233,16 @@
             deduplication_key=head.fields.get("idempotency-key"),
         )
         client_request = ClientRequest(
-            class_index=info.class_index,
-            plan_index=info.plan_index,
-            volume=info.volume,
-            units=info.units,
-            volume_initiator_count=info.volume_initiator_count,
-            idempotency_key=info.idempotency_key,
-            shard=info.shard,
+            class_index=request_info.class_index,
+            plan_index=request_info.plan_index,
+            volume=request_info.volume,
+            units=request_info.units,
+            volume_initiator_count=request_info.volume_initiator_count,
+            idempotency_key=request_info.idempotency_key,
+            shard=request_info.shard,
             is_write=head.method == HTTPMethod.PUT,
-            is_retry=info.is_retry,
-            timeout=info.timeout,
+            is_retry=request_info.is_retry,
+            timeout=request_info.timeout,
             payload=payload,
             response_handler=self,
             trace_label=request_id,
@@ -248,31 +251,31 @@
 
     # --- Responses from the engine ---
     def is_disconnected(self) -> bool:
-        """Return whether the client has closed, also where the loop has not seen it yet."""
+        """Return whether the client has closed, even if the event loop has not reported it yet."""
         return self.is_peer_closed()
 
-    def complete(self, answer: bytes | ResponseStream) -> None:
-        """Send a target's response, or the part of a streamed one that has arrived."""
-        if not isinstance(answer, ResponseStream):
-            self._finish_request(200, answer)
+    def complete(self, response: bytes | ResponseStream) -> None:
+        """Send a target's response, or start to stream it."""
+        if not isinstance(response, ResponseStream):
+            self._finish_request(200, response)
             return
         self._request_number = None
-        self._stream = answer
-        answer.sink = self
+        self._stream = response
+        response.sink = self
         self._reserve_body(0)
-        self._is_chunked = answer.length is None and self._http_minor_version == 1
-        has_framing = answer.length is not None or self._is_chunked
+        self._is_chunked = response.length is None and self._http_minor_version == 1
+        has_framing = response.length is not None or self._is_chunked
         self._keep_alive = self._keep_alive and not self._server.stopping and has_framing
-        self.write(http.response_head(200, answer.length, None, not self._keep_alive, self._is_chunked))
-        self.write_part(answer.first_part)
+        self.write(http.response_head(200, response.length, None, not self._keep_alive, self._is_chunked))
+        self.write_part(response.first_part)
 
     def reject(self, retry_after: float) -> None:
-        """Answer 503, with Retry-After in seconds if it is above zero."""
+        """Respond with 503, and with Retry-After in seconds if it is above zero."""
         fields = {"Retry-After": f"{retry_after:.3f}"} if retry_after > 0 else None
         self._finish_request(503, b"", fields)
 
     def fail(self) -> None:
-        """Answer 504: the request may have been executed."""
+        """Respond with 504: the request may have been executed."""
         self._finish_request(504)
 
     def _finish_request(self, status: int, body: bytes = b"", fields: dict[str, str] | None = None) -> None:
@@ -282,14 +285,14 @@
         self._write_response(status, body, fields)
         self.resume_processing()
 
-    # --- The response stream's sink ---
+    # --- StreamSink ---
     def write_part(self, data: bytes) -> None:
-        """Send some of the body of a streamed response."""
+        """Send part of the body of a streamed response."""
         self.write(http.encode_chunk(data) if self._is_chunked else data)
         self.abort_if_unread(UNREAD_TIMEOUT_SECONDS)
 
     def finish_stream(self) -> None:
-        """End a streamed response and go on with the next request."""
+        """End a streamed response and continue with the next request."""
         self._stream = None
         if self._is_chunked:
             self.write(http.LAST_CHUNK)
@@ -305,14 +308,14 @@
         self.reset()
 
     # --- Writing responses ---
-    def _answer_bad_request(self, status: int, text: str) -> None:
-        """Answer a request that was received and is not valid; the connection stays open."""
+    def _reject_bad_request(self, status: int, text: str) -> None:
+        """Reject an invalid request that was received completely; the connection stays open."""
         self._reserve_body(0)
         self._server.engine.counts["bad_requests"] += 1
         self._write_response(status, f"{text}\n".encode())
 
     def _reject_and_close(self, status: int, text: str) -> None:
-        """Answer a request that can't be received and close the connection."""
+        """Reject a request without receiving the rest of it and close the connection."""
         self._server.engine.counts["bad_requests"] += 1
         self.write(http.encode_response(status, f"{text}\n".encode(), close=True))
         self.close_gracefully()
@@ -336,11 +339,11 @@
 
 
 class HttpServer:
-    """Serves clients over HTTP/1.1; owns what their connections share.
+    """Serves clients over HTTP/1.1; owns the state that their connections share.
 
-    `is_ready` tells whether the initiator is ready.  `max_unread_response_bytes` bounds the responses that
-    clients have not read, `max_request_body_bytes` the long request bodies from their first byte until their
-    requests are answered; each limit holds for all connections together.
+    `is_ready` returns whether the initiator is ready.  `max_unread_response_bytes` bounds the responses that
+    clients have not read, `max_request_body_bytes` the request bodies above SMALL_BODY_BYTES from their first
+    byte until the response starts; each limit applies to all connections together.
     """
 
     def __init__(
@@ -364,7 +367,7 @@
         self.update_settings(settings)
 
     def update_settings(self, settings: Settings) -> None:
-        """Use other settings from the next request on."""
+        """Apply new settings from the next request on."""
         self.request_fields = RequestFields(settings)
         self.max_retry_after = settings.max_retry_after if settings.may_send_retry_after else 0.0
         self.recent_request_ids.retention_seconds = max(cls.deadline for cls in settings.classes)
--- a/stalltiller/adapters/http_target_client.py
+++ b/stalltiller/adapters/http_target_client.py
@@ -1,8 +1,8 @@
-"""The platform's HTTP/1.1 target side: connections that send attempts to targets.
+"""The HTTP/1.1 client for the platform's targets: connections that send attempts to targets.
 
 Each `TargetConnection` owns the state of its connection and of the attempt on it.  It reports the result of
-each attempt to the engine once, unless the attempt was abandoned.  A long response is passed on to the client
-while it still arrives (`ResponseStream`); for the engine its attempt is then finished.
+each attempt to the engine once, unless the attempt was abandoned.  A long response is streamed to the client
+while it is received (`ResponseStream`); the engine considers the attempt finished when streaming starts.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 from stalltiller.transport.buffers import BufferPool, MemoryBudget
 from stalltiller.transport.connection import Connection
 
-# Between these times after a response a second copy of it may be on its way, which would pass for the
-# response to the next request.  A request that follows at once arrives before it, and a target that has a
-# request waiting does not answer the one before again.
-REUSE_DELAY_SECONDS = (0.001, 0.006)
-# A long response is passed on from here; one without a known length only past SMALL_BODY_BYTES.
+# A target may send a duplicate of a response, which would be taken for the response to the next request.  It
+# may be in flight while the connection's idle time is within this range.  A request sent earlier reaches the
+# target before the duplicate is sent, and a target with a pending request does not repeat its last response.
+AVOIDED_IDLE_RANGE_SECONDS = (0.001, 0.006)
+# A long response is streamed once more than this is received; one of unknown length after SMALL_BODY_BYTES.
 STREAM_THRESHOLD_BYTES = 8 * 1024
-SLOW_RESPONSE_SECONDS = 0.02  # after its head: a response that still arrives is passed on with fewer bytes
-STREAM_STALL_TIMEOUT_SECONDS = 5.0  # how long a target may send nothing of a response that is passed on
-BODY_PIECE_BYTES = 64 * 1024  # of a long request body, written at once
-MIN_ATTEMPT_TIMEOUT_SECONDS = 0.001  # X-Timeout names at least this
+SLOW_RESPONSE_SECONDS = 0.02  # a long response that takes longer than this is streamed below the threshold
+STREAM_STALL_TIMEOUT_SECONDS = 5.0  # a streamed response without data for this long fails
+MAX_BODY_WRITE_BYTES = 64 * 1024  # size of one write of a long request body
+MIN_ATTEMPT_TIMEOUT_SECONDS = 0.001  # lower bound of the X-Timeout sent to targets
 
 
 class TargetConnection(Connection):
@@ -40,13 +40,13 @@
         super().__init__(target_client.buffers)
         self._target_client = target_client
         self._reader = http.Reader(response=True)
-        self._unsent_body = memoryview(b"")  # what of a long body is not written yet
-        self._attempt: Attempt | None = None  # the one in flight
+        self._unsent_body = memoryview(b"")  # the part of a long request body not written yet
+        self._attempt: Attempt | None = None  # the attempt in flight
         self._stream: ResponseStream | None = None
-        self._streamed_attempt: Attempt | None = None  # whose response is being passed on
-        self._reserved_bytes = 0  # in the client's budget of responses
-        self._response_started_at = 0.0  # when the response's head came
-        self._last_progress_at = 0.0  # when bytes of the response came last
+        self._streamed_attempt: Attempt | None = None  # the attempt whose response is being streamed
+        self._reserved_bytes = 0  # reserved in the target client's budget of responses
+        self._response_started_at = 0.0  # when the response head was received
+        self._last_progress_at = 0.0  # when bytes of the response were last received
         self._stall_timer: asyncio.TimerHandle | None = None
 
     # --- Sending ---
@@ -67,27 +67,27 @@
         self._write_body()
 
     def _write_body(self) -> None:
-        """Write as much of a long body as the kernel takes.  Guards against a second copy of all of it."""
+        """Write as much of a long body as the kernel accepts, which avoids buffering a copy of all of it."""
         while self._unsent_body and self.flushed and not self.is_closing:
-            piece = self._unsent_body[:BODY_PIECE_BYTES]
-            self._unsent_body = self._unsent_body[BODY_PIECE_BYTES:]
-            self.write(piece)
+            part = self._unsent_body[:MAX_BODY_WRITE_BYTES]
+            self._unsent_body = self._unsent_body[MAX_BODY_WRITE_BYTES:]
+            self.write(part)
 
     def resume_writing(self) -> None:
-        """Go on with the body once the kernel has taken everything written."""
+        """Continue with the body once the kernel has accepted everything written."""
         self.flushed = True
         self._write_body()
         self.resume_processing()
 
     def is_fully_sent(self) -> bool:
-        """Return whether the kernel has taken the whole request."""
+        """Return whether the kernel has accepted the whole request."""
         return self.flushed and not self._unsent_body
 
     def abandon(self) -> bool:
-        """Give the attempt up and return whether it may have been executed.
+        """Abandon the attempt and return whether it may have been executed.
 
-        One that is given up in the middle of its transfer counts as executed: only a connection that the
-        target broke proves otherwise.
+        An attempt abandoned in the middle of its transfer counts as possibly executed: only a connection
+        closed by the target proves otherwise.
         """
         self._attempt = None
         self._unsent_body = memoryview(b"")
@@ -98,9 +98,9 @@
     def on_data(self, data: memoryview) -> int:
         """Parse the response; return the number of bytes consumed."""
         if self._stream is not None:
-            return self._pass_on(data)
+            return self._forward(data)
         if self._attempt is None:
-            self.abort()  # a target sends nothing unless it has a request
+            self.abort()  # unsolicited bytes: no request is in flight
             return len(data)
         had_head = self._reader.begun
         try:
@@ -109,7 +109,7 @@
             self._fail_attempt(str(error))
             return len(data)
         if not self._reserve(len(self._reader.body)):
-            self._fail_attempt("no memory left for the answer")
+            self._fail_attempt("the memory budget for responses is exhausted")
             return len(data)
         self._last_progress_at = self._target_client.loop.time()
         if not had_head:
@@ -125,17 +125,17 @@
         return consumed
 
     def on_buffer_full(self) -> None:
-        """Fail the attempt: the response's head does not fit."""
-        self._fail_attempt("answer head over the limit")
+        """Fail the attempt: the response head does not fit into the buffer."""
+        self._fail_attempt("response head over the limit")
 
     def eof_received(self) -> bool:
-        """Abort; a close would go on writing to a target that has stopped."""
+        """Abort; a graceful close would keep writing to a target that has shut down sending."""
         self.abort()
         return False
 
     def on_disconnected(self, error: Exception | None) -> None:
-        """End the response or the attempt; only some responses are complete with the connection's end."""
-        # A reset never ends a response well.
+        """End the response or the attempt; only a response delimited by the connection's end is complete."""
+        # A reset never completes a response.
         is_complete = error is None and self._reader.begun and self._reader.finish()
         if self._stream is not None:
             if is_complete:
@@ -149,13 +149,13 @@
         if is_complete:
             self._finish_response()
             return
-        # Only a break before the last byte was written proves that the target never began.
+        # Only a connection lost before the last byte was written proves that the target did not execute it.
         never_executed = not self.is_fully_sent() and not self._reader.begun
         status = AttemptStatus.CONNECT_FAILED if never_executed else AttemptStatus.RESET
         self._finish_attempt(AttemptResult(status), reuse=False)
 
     def _reserve(self, size: int) -> bool:
-        """Reserve memory for the response's body so far; return whether the budget suffices."""
+        """Reserve memory for the body received so far; return whether the total is within the budget."""
         change = size - self._reserved_bytes
         self._reserved_bytes = size
         return self._target_client.response_budget.adjust(change)
@@ -164,11 +164,13 @@
     def _finish_response(self) -> None:
         head = self._reader.head
         assert head is not None
-        info = self._target_client.answer_fields.parse(head)
-        body = bytes(self._reader.body) if info.status is AttemptStatus.OK else None
-        # A response that came before the request was sent leaves the connection in no known state.
+        response_info = self._target_client.response_fields.parse(head)
+        body = bytes(self._reader.body) if response_info.status is AttemptStatus.OK else None
+        # After a response that precedes the end of the request the state of the connection is unknown.
         reuse = head.keeps_alive() and self._reader.done and self.is_fully_sent()
-        self._finish_attempt(AttemptResult(info.status, body, info.other_units, info.report), reuse)
+        self._finish_attempt(
+            AttemptResult(response_info.status, body, response_info.other_units, response_info.report), reuse
+        )
 
     def _fail_attempt(self, text: str) -> None:
         self._target_client.log_bad_response(self._attempt, text)
@@ -190,13 +192,13 @@
             self.abort()
         self._target_client.engine.attempt_finished(attempt, result)
 
-    # --- Responses that are passed on ---
+    # --- Streamed responses ---
     def _should_stream(self) -> bool:
-        """Return whether to pass the response on as it arrives: after that it can't be tried again.
+        """Return whether to stream the response from now on; after that the request can't be retried.
 
-        Guards against targets that write slowly: 64 KiB of chunks took up to 1.1 s, and it is the first bytes
-        of a long response that its client waits for.  A response that stops short sends no more bytes and is
-        tried again.
+        Guards against targets that write slowly: 64 KiB of chunks took up to 1.1 s, and the client waits
+        for the first bytes of a long response.  A response that stalls makes no further progress, so that it
+        is not streamed and its request can be retried.
         """
         length = self._reader.length
         if length is not None and length <= SMALL_BODY_BYTES:
@@ -206,15 +208,15 @@
         return self._reader.bytes_received > threshold or (is_slow and self._reader.bytes_received > 0)
 
     def _start_stream(self) -> None:
-        """Pass the response on from here.
+        """Stream the response from now on.
 
-        For the engine the attempt is finished: the target has done its work.
+        The attempt is reported as finished, since the target has executed the request.
         """
         assert self._reader.head is not None
-        info = self._target_client.answer_fields.parse(self._reader.head)
-        if info.status is not AttemptStatus.OK:
-            # Nobody wants the text of a long error.
-            self._finish_attempt(AttemptResult(info.status), reuse=False)
+        response_info = self._target_client.response_fields.parse(self._reader.head)
+        if response_info.status is not AttemptStatus.OK:
+            # The body of an error response is not needed.
+            self._finish_attempt(AttemptResult(response_info.status), reuse=False)
             return
         attempt = self._attempt
         assert attempt is not None
@@ -226,15 +228,15 @@
         self._reserve(0)
         self._target_client.pool.record_use(attempt, False)
         self._target_client.engine.counts["relayed"] += 1
-        result = AttemptResult(info.status, stream, info.other_units, info.report)
+        result = AttemptResult(response_info.status, stream, response_info.other_units, response_info.report)
         self._target_client.engine.attempt_finished(attempt, result)
         if stream.sink is None:  # the client had disconnected
             self.abort_stream()
-        elif not stream.wants_more:
+        elif not stream.is_sink_ready:
             self._pause()
         self._restart_stream_timer()
 
-    def _pass_on(self, data: memoryview) -> int:
+    def _forward(self, data: memoryview) -> int:
         self._last_progress_at = self._target_client.loop.time()
         try:
             consumed = self._reader.feed(data)
@@ -250,7 +252,7 @@
         if is_complete:
             assert self._reader.head is not None
             self._finish_stream(self._reader.head.keeps_alive() and self.is_fully_sent())
-        elif self._stream is not None and not self._stream.wants_more:
+        elif self._stream is not None and not self._stream.is_sink_ready:
             self._pause()
         return consumed
 
@@ -270,7 +272,7 @@
             stream.sink.finish_stream()
 
     def _fail_stream(self) -> None:
-        """End a response of which the rest will not arrive."""
+        """End a streamed response that is truncated."""
         stream = self._stream
         assert stream is not None and stream.sink is not None
         self._stream = None
@@ -279,16 +281,16 @@
         stream.sink.fail_stream()
 
     def resume_stream(self) -> None:
-        """Read on: the client has read everything so far."""
+        """Resume reading: the kernel has accepted everything sent to the client so far."""
         self._last_progress_at = self._target_client.loop.time()
         self.resume_processing()
 
     def abort_stream(self) -> None:
-        """Stop: the client has disconnected."""
+        """Abort: the client has disconnected or its connection is being reset."""
         self._stream = None
         self.abort()
 
-    # --- Responses that stop short ---
+    # --- Stalled responses ---
     def _restart_stream_timer(self) -> None:
         if self._stall_timer is not None:
             self._stall_timer.cancel()
@@ -297,10 +299,7 @@
         )
 
     def _check_stall(self) -> None:
-        """Guard against responses that stop short on a connection that stays open.
-
-        A read can then be sent again.
-        """
+        """Fail a response that stalls on an open connection; a read can be retried unless it is streamed."""
         self._stall_timer = None
         if self._stream is not None:
             self._check_stream_stall(self._stream)
@@ -311,12 +310,12 @@
         if remaining > 0:
             self._stall_timer = self._target_client.loop.call_later(remaining, self._check_stall)
             return
-        self._fail_attempt("the answer stopped short")
+        self._fail_attempt("the response stalled")
 
     def _check_stream_stall(self, stream: ResponseStream) -> None:
-        silence = self._target_client.loop.time() - self._last_progress_at
-        if stream.wants_more and silence >= STREAM_STALL_TIMEOUT_SECONDS:
-            self._target_client.log_bad_response(self._streamed_attempt, "the answer stopped short")
+        time_since_progress = self._target_client.loop.time() - self._last_progress_at
+        if stream.is_sink_ready and time_since_progress >= STREAM_STALL_TIMEOUT_SECONDS:
+            self._target_client.log_bad_response(self._streamed_attempt, "the streamed response stalled")
             self._fail_stream()
         else:
             self._restart_stream_timer()
@@ -325,8 +324,8 @@
 class HttpTargetClient(PooledTargetClient):
     """Sends attempts to targets over HTTP/1.1.
 
-    Arguments are those of `PooledTargetClient`; `max_response_bytes` bounds the memory of all responses that
-    are being received.
+    `max_response_bytes` bounds the memory of all responses being received; the other arguments are those of
+    `PooledTargetClient`.
     """
 
     def __init__(
@@ -342,14 +341,14 @@
         max_response_bytes: int,
     ) -> None:
         super().__init__(
-            loop, engine, buffers, connect_timeout, idle_limit, max_channels, log, REUSE_DELAY_SECONDS
+            loop, engine, buffers, connect_timeout, idle_limit, max_channels, log, AVOIDED_IDLE_RANGE_SECONDS
         )
         self.response_budget = MemoryBudget(max_response_bytes)
         self.update_settings(settings)
 
     def update_settings(self, settings: Settings) -> None:
-        """Use other settings from the next response on."""
-        self.answer_fields = AnswerFields(settings)
+        """Apply new settings from the next response on."""
+        self.response_fields = AnswerFields(settings)
 
     async def connect(self, host: str, port: int) -> TargetConnection:
         """Open a connection to a target; raises OSError if it can't be reached."""
--- a/stalltiller/adapters/pooled_target_client.py
+++ b/stalltiller/adapters/pooled_target_client.py
@@ -1,4 +1,4 @@
-"""What both target clients share: a pool of channels whose results are reported to the engine."""
+"""Base of the HTTP and NVMe/TCP target clients: sends attempts on pooled channels."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
 from stalltiller.transport.buffers import BufferPool
 from stalltiller.transport.pool import Channel, ChannelPool
 
-# How long a response that has begun may make no progress; soon enough that a read can be sent again.
+# A response that makes no progress for this long has stalled; short enough to leave time to retry a read.
 RESPONSE_STALL_TIMEOUT_SECONDS = 0.1
 
 
 class PooledTargetClient:
-    """Sends attempts to targets by pooled channels; subclasses make the channels.
+    """Sends attempts to targets on pooled channels; subclasses open the channels.
 
-    `connect_timeout` and `idle_limit` are in seconds, `max_channels` bounds the channels to all targets
-    together.  A channel is not reused between the two times of `reuse_delay`, in seconds after its release.
+    `connect_timeout` and `idle_limit` are in seconds; `max_channels` bounds the channels to all targets
+    together.  A channel whose idle time in seconds is within `avoided_idle_range` is not reused if another is
+    available.
     """
 
     def __init__(
@@ -31,14 +32,20 @@
         idle_limit: float,
         max_channels: int,
         log: Callable[..., None],
-        reuse_delay: tuple[float, float] = (0.0, 0.0),
+        avoided_idle_range: tuple[float, float] = (0.0, 0.0),
     ) -> None:
         self.loop = loop
         self.engine = engine
         self.buffers = buffers
         self._log = log
         self.pool = ChannelPool(
-            loop, self.connect, self._on_unreachable, connect_timeout, idle_limit, max_channels, reuse_delay
+            loop,
+            self.connect,
+            self._on_unreachable,
+            connect_timeout,
+            idle_limit,
+            max_channels,
+            avoided_idle_range,
         )
 
     async def connect(self, host: str, port: int) -> Channel:
@@ -46,15 +53,15 @@
         raise NotImplementedError
 
     def start(self, attempt: Attempt) -> None:
-        """Begin an attempt; its result is reported to the engine later."""
+        """Start an attempt; its result is reported to the engine later."""
         self.pool.start(attempt)
 
     def is_fully_sent(self, attempt: Attempt) -> bool:
-        """Return whether the target may have all of an attempt's request."""
+        """Return whether the target may have received the whole request of an attempt."""
         return self.pool.is_fully_sent(attempt)
 
     def abandon(self, attempt: Attempt) -> bool:
-        """Give an attempt up for good and return whether it may have been executed."""
+        """Abandon an attempt and return whether it may have been executed."""
         return self.pool.abandon(attempt)
 
     def close_idle(self, target_id: TargetId) -> None:
@@ -62,7 +69,7 @@
         self.pool.close_idle(target_id)
 
     def log_bad_response(self, attempt: Attempt | None, text: str) -> None:
-        """Count and log a malformed response; it ends that attempt alone."""
+        """Count and log a response that is malformed, stalled or too large; only its attempt fails."""
         self.engine.counts["bad_answers"] += 1
         self._log("bad_response", target=attempt.target_id if attempt else None, text=text)
 
--- a/stalltiller/adapters/recent_request_ids.py
+++ b/stalltiller/adapters/recent_request_ids.py
@@ -1,18 +1,20 @@
-"""A set of recently used request identifiers in two generations, bounded in time and number.
+"""Duplicate detection for request identifiers, bounded in time and number.
 
-`HttpServer` owns one for all its client connections.
+`HttpServer` owns one instance for all its client connections.
 """
 
 from __future__ import annotations
 
-MAX_IDS_PER_GENERATION = 8192  # bounds the memory: two generations are remembered at once
+MAX_IDS_PER_GENERATION = 8192  # bounds the memory: two generations are held
 
 
 class RecentRequestIds:
-    """The request identifiers of the last `retention_seconds`, and of up to twice that time.
+    """Remembers request identifiers, usually for `retention_seconds` to twice that time.
 
-    Guards against a client that copies the identifier of another client's request: to a target it would look
-    like a second attempt of that request while the first may still be in flight.
+    A claim starts a new generation if the current one is older than `retention_seconds` or full.
+
+    Guards against a client that reuses the identifier of another client's request: a target would take its
+    request for a second attempt of the first one, which may still be in flight.
     """
 
     def __init__(self, retention_seconds: float) -> None:
@@ -22,7 +24,7 @@
         self._previous: set[str] = set()
 
     def claim(self, now: float, request_id: str) -> bool:
-        """Remember an identifier and return whether it was new."""
+        """Add an identifier and return whether it was new."""
         if now >= self._next_rotation_at or len(self._current) >= MAX_IDS_PER_GENERATION:
             self._previous = self._current
             self._current = set()
--- a/stalltiller/adapters/request_timer.py
+++ b/stalltiller/adapters/request_timer.py
@@ -1,21 +1,21 @@
-"""The time limit of a request that a client is sending; each client connection owns one."""
+"""The timeout for receiving a request; each client connection owns one timer."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-# How long a client may take to send a request's head; for a body it gets the time of MIN_BODY_RATE on top.
+# The timeout of a request's head; body bytes extend it at MIN_BODY_RATE_BYTES_PER_SECOND.
 REQUEST_TIMEOUT_SECONDS = 2.5
-MIN_BODY_RATE_BYTES_PER_SECOND = 48_000  # a body that arrives more slowly is not waited for
-MIN_TIMER_SECONDS = 0.05  # between two checks of a body that arrives just fast enough
+MIN_BODY_RATE_BYTES_PER_SECOND = 48_000  # a request whose body arrives more slowly times out
+MIN_CHECK_INTERVAL_SECONDS = 0.05  # bounds the check rate for a body that arrives just fast enough
 
 
 class RequestTimer:
-    """Guards against clients that begin a request and never end it.
+    """Guards against clients that start a request and never complete it.
 
-    The callbacks are held only while the time limit runs: a reference back to the connection past that would
-    keep its body in memory until the next garbage collection.
+    The callbacks are referenced only while the timer runs: a permanent reference cycle with the connection
+    would keep its body in memory until the next garbage collection.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -24,9 +24,9 @@
         self._handle: asyncio.TimerHandle | None = None
 
     def start(self, bytes_received: Callable[[], int], on_timeout: Callable[[], None]) -> None:
-        """Start the time limit, unless it runs already.
+        """Start the timer unless it is running.
 
-        `bytes_received` counts the body so far, `on_timeout` is called if the request takes too long.
+        `bytes_received` returns the body bytes received so far; `on_timeout` is called on a timeout.
         """
         if self._handle is None:
             self._started_at = self._loop.time()
@@ -35,7 +35,7 @@
             )
 
     def cancel(self) -> None:
-        """End the time limit: the request is complete, or its connection closes."""
+        """Stop the timer: the request is complete, or its connection closes."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
@@ -50,5 +50,5 @@
         if remaining <= 0:
             on_timeout()
         else:
-            delay = max(remaining, MIN_TIMER_SECONDS)
+            delay = max(remaining, MIN_CHECK_INTERVAL_SECONDS)
             self._handle = self._loop.call_later(delay, self._check, bytes_received, on_timeout)
--- a/stalltiller/adapters/response_stream.py
+++ b/stalltiller/adapters/response_stream.py
@@ -1,7 +1,7 @@
-"""A response that is passed on to its client while it still arrives from its target.
+"""A response that is streamed to its client while it is received from its target.
 
-Owned by the connection to the target, which is its source; the client's connection becomes its sink when the
-engine completes the request with it.
+The target connection owns it and is its source; the client connection becomes its sink when the engine
+completes the request with it.
 """
 
 from __future__ import annotations
@@ -10,39 +10,39 @@
 
 
 class StreamSource(Protocol):
-    """The end at which the response arrives from the target."""
+    """The target connection, which receives the response."""
 
     def resume_stream(self) -> None:
-        """Read on: the client has read everything sent so far."""
+        """Resume reading: everything written to the sink is flushed."""
 
     def abort_stream(self) -> None:
-        """Stop: the client has disconnected, nobody wants the rest."""
+        """Stop receiving: the client has disconnected or its connection is being reset."""
 
 
 class StreamSink(Protocol):
-    """The end at which the response leaves for the client."""
+    """The client connection, which sends the response."""
 
     flushed: bool
 
     def write_part(self, data: bytes) -> None:
-        """Send some of the body to the client."""
+        """Send part of the body to the client."""
 
     def finish_stream(self) -> None:
         """End the response: the body is complete."""
 
     def fail_stream(self) -> None:
-        """End the connection so that the client sees that the rest will not arrive."""
+        """Reset the connection so that the client detects the truncated response."""
 
 
 class ResponseStream:
-    """Joins the two ends.
+    """Connects a source to a sink.
 
-    `length` is the body's length in bytes, None if it is not known in advance; `first_part` is what of the
-    body had arrived when the stream was created.
+    `length` is the body's length in bytes, None if it is not known in advance; `first_part` is the part of
+    the body received before the stream was created.
 
-    The target is read only while the client has read everything so far.  Guards against responses that are
-    together far above the memory limit: each takes one buffer, however long it is and however slowly it is
-    read.
+    Reading from the target is paused while the sink is not flushed.  Guards against long responses that
+    together exceed the memory limit: each takes one buffer, however long it is and however slowly the client
+    reads.
     """
 
     def __init__(self, source: StreamSource, length: int | None, first_part: bytes) -> None:
@@ -52,6 +52,6 @@
         self.sink: StreamSink | None = None
 
     @property
-    def wants_more(self) -> bool:
-        """Whether the client has read everything sent so far."""
+    def is_sink_ready(self) -> bool:
+        """Whether everything written to the sink is flushed."""
         return self.sink is not None and self.sink.flushed
--- a/stalltiller/adapters/target_directory.py
+++ b/stalltiller/adapters/target_directory.py
@@ -1,7 +1,7 @@
-"""The target list as the engine sees it: discovery's list, changed by what operators and peers say.
+"""The engine's target list: discovery's list with the overrides of operators and peers.
 
-`TargetDirectory` owns the last list of discovery, the targets that operators detached and what peers
-reported.  Each change reaches the engine as a target list update.
+`TargetDirectory` owns the last list from discovery, the targets that operators detached and the overrides
+reported by peers.  It passes each change to the engine as a target list update.
 """
 
 from __future__ import annotations
@@ -17,32 +17,32 @@
 
 @dataclass(slots=True, frozen=True)
 class _Detachment:
-    """A detachment that is over; both are Unix times."""
+    """A detachment that has ended; both are Unix times."""
 
     detached_at: float
     attached_at: float
 
 
 class TargetDirectory:
-    """Turns discovery's list into the engine's.
+    """Derives the engine's target list from discovery's.
 
-    A target detached by an operator drains for the engine, whatever discovery says, until it is attached
-    again.  It was restarted meanwhile, so it counts as started then unless discovery reports a start since it
-    was detached.
+    A target detached by an operator drains for the engine, whatever status discovery reports, until it is
+    attached again.  It is assumed to have been restarted in between: its start time is then that of the
+    attachment, unless discovery reports a start since the detachment.
     """
 
     def __init__(self, engine: Engine, zones: list[str], kinds: list[str]) -> None:
         self._engine = engine
         self._zones = zones
         self._kinds = kinds
-        self._endpoints: dict[TargetId, TargetEndpoint] = {}  # as discovery last reported them
-        self.detached: dict[str, float] = {}  # when each was detached (Unix time)
+        self._endpoints: dict[TargetId, TargetEndpoint] = {}  # as last reported by discovery
+        self.detached: dict[str, float] = {}  # detachment times by name (Unix time)
         self._past_detachments: dict[str, _Detachment] = {}
-        self._withheld: frozenset[str] = frozenset()  # reported by peers, as are the start times (Unix time)
-        self._peer_start_times: dict[str, float] = {}
+        self._withheld: frozenset[str] = frozenset()  # targets that must drain according to peers
+        self._peer_start_times: dict[str, float] = {}  # start times reported by peers (Unix time)
 
     def to_endpoint(self, target: discovery.TargetRecord) -> TargetEndpoint:
-        """Convert a line of discovery's list; unknown zones and types share one index past the known ones."""
+        """Convert an entry of discovery's list; unknown zones and types get the next free index."""
         zone = self._zones.index(target.zone) if target.zone in self._zones else len(self._zones)
         kind = self._kinds.index(target.kind) if target.kind in self._kinds else len(self._kinds)
         return TargetEndpoint(
@@ -59,9 +59,9 @@
             target.port,
         )
 
-    def update(self, kind: TargetListKind, listing: discovery.TargetList) -> None:
-        """Apply a list of discovery, or a change of it, and pass it on to the engine."""
-        endpoints = [self.to_endpoint(target) for target in listing.targets]
+    def update(self, kind: TargetListKind, target_list: discovery.TargetList) -> None:
+        """Apply a list from discovery, or a change to it, and pass it to the engine."""
+        endpoints = [self.to_endpoint(target) for target in target_list.targets]
         if kind is not TargetListKind.DELTA:
             self._endpoints.clear()
         for endpoint in endpoints:
@@ -75,7 +75,7 @@
         self._engine.update_targets(kind, [self._apply_overrides(endpoint) for endpoint in endpoints])
 
     def _apply_overrides(self, endpoint: TargetEndpoint) -> TargetEndpoint:
-        """Return a listed target with what operators and peers say of it."""
+        """Return a listed target with the overrides of operators and peers applied."""
         target = endpoint.target
         name = target.target_id
         must_drain = name in self.detached or name in self._withheld
@@ -95,11 +95,11 @@
                 return replace(endpoint, target=replace(target, started_at=attached_at))
         return endpoint
 
-    def apply_peer_state(self, withheld: frozenset[str], starts: dict[str, float]) -> None:
-        """Withhold some listed targets and set the start of others (Unix time); all others are as listed."""
-        changed = self._withheld | self._peer_start_times.keys() | withheld | starts.keys()
+    def apply_peer_state(self, withheld: frozenset[str], start_times: dict[str, float]) -> None:
+        """Replace the overrides of peers: the targets to drain and the start times of others (Unix time)."""
+        changed = self._withheld | self._peer_start_times.keys() | withheld | start_times.keys()
         self._withheld = withheld
-        self._peer_start_times = starts
+        self._peer_start_times = start_times
         self._notify_engine(sorted(changed))
 
     def has_target(self, name: str) -> bool:
@@ -107,7 +107,7 @@
         return name in self._endpoints or name in self.detached
 
     def set_detached(self, detached: dict[str, float]) -> None:
-        """Detach and attach targets so that exactly those named are detached, each since a Unix time."""
+        """Detach and attach targets so that exactly those given are detached, each since a Unix time."""
         names = (*self.detached, *detached)
         changed = [name for name in names if (name in self.detached) != (name in detached)]
         for name in changed:
@@ -119,7 +119,7 @@
         self._notify_engine(changed)
 
     def _notify_engine(self, names: list[str]) -> None:
-        """Pass on the state of those of the targets named that are listed."""
+        """Update the engine's state of the named targets, except those that are not listed."""
         changed = [self._apply_overrides(self._endpoints[name]) for name in names if name in self._endpoints]
         if changed:
             self._engine.update_targets(TargetListKind.DELTA, changed)
