--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback for discovery, targets and clients; HTTP and NVMe/TCP share one interface."""
+"""Stub discovery, targets and clients on loopback, with one interface for HTTP and NVMe/TCP."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 BLOCK = 512  # bytes
 PER_UNIT = 32  # blocks
 VOLUME = 0xA1
-SUBSYSTEM = "nqn.2026-12.example:canteen"
+SUBSYSTEM_NQN = "nqn.2026-12.example:canteen"
 DEADLINE = 0.6  # s
 MAX_RETRY_AFTER = 0.5  # s
-NEVER_ANSWERED = 30.0  # s: longer than any test
-READ_SIZE = 65536  # bytes
+NO_RESPONSE_SECONDS = 30.0  # longer than any test runs
+MAX_READ_BYTES = 65536
 CLASSES = (
     request_class(name="read", latency_objective=0.4, deadline=DEADLINE),
     request_class(
@@ -39,12 +39,12 @@
 
     end: str  # served, refused or failed
     data: bytes
-    elapsed: float  # s
-    retry_after: float = 0.0
+    elapsed: float  # seconds
+    retry_after: float = 0.0  # seconds
 
 
 class Standin:
-    """A server on loopback that keeps its connections, to close them."""
+    """A stub server on loopback that tracks its connections in order to close them."""
 
     def __init__(self) -> None:
         self.writers: set[asyncio.StreamWriter] = set()
@@ -80,7 +80,7 @@
     reader = http.Reader(response=response)
     unparsed = b""
     while not reader.done:
-        received = await stream.read(READ_SIZE)
+        received = await stream.read(MAX_READ_BYTES)
         if not received:
             raise EOFError
         unparsed += received
@@ -89,7 +89,7 @@
 
 
 class Discovery(Standin):
-    """Holds the list of targets and answers watches."""
+    """A stub discovery service: holds the target list and responds to polls for it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -97,9 +97,9 @@
         self.lines: dict[str, dict] = {}
         self.changed = asyncio.Event()
         self.calls: list[str] = []
-        self.times: list[float] = []  # when each call came
-        self.malformed_bodies: list[bytes] = []  # to answer in place of the list
-        self.silent = False  # it accepts calls and answers none
+        self.times: list[float] = []  # when each call was received (monotonic clock)
+        self.malformed_bodies: list[bytes] = []  # sent in place of the list, last one first
+        self.silent = False  # accepts calls without responding to them
 
     def set(self, target: Target, status: str = "active", since_ms: int = 0) -> None:
         self.lines[target.name] = {
@@ -138,10 +138,11 @@
 
 
 class Target(Standin):
-    """A storage server.
+    """A stub storage server.
 
-    `mode` says what it does with a complete request: serve, turn_away (reject it before execution), error,
-    silent, break (the connection), or stall (which stops reading at the request's head).
+    `mode` states what it does with a request: serve, turn_away (reject it before execution), error, silent
+    (execute it without a response), break (execute it and close the connection), or stall (stop reading after
+    the request's head).
     """
 
     def __init__(self, name: str, shard: int) -> None:
@@ -149,8 +150,8 @@
         self.name = name
         self.shard = shard
         self.mode = "serve"
-        self.delay = 0.0  # s that it takes to serve a request
-        self.begun: list[tuple[float, int]] = []  # when a request's first bytes came, and its tag
+        self.delay = 0.0  # seconds to execute a request
+        self.begun: list[tuple[float, int]] = []  # arrival time (monotonic clock) and tag of each request
         self.ran: list[tuple[int, bytes]] = []  # the tag and data of each request executed
         self.in_flight = 0
         self.max_in_flight = 0
@@ -164,7 +165,7 @@
         self.in_flight += 1
         self.max_in_flight = max(self.max_in_flight, self.in_flight)
         try:
-            await asyncio.sleep(NEVER_ANSWERED if mode == "silent" else self.delay)
+            await asyncio.sleep(NO_RESPONSE_SECONDS if mode == "silent" else self.delay)
         finally:
             self.in_flight -= 1
         if mode == "break":
@@ -173,13 +174,13 @@
 
     @staticmethod
     def content(tag: int, size: int) -> bytes:
-        """Return the bytes that a tag reads as."""
+        """Return the data that a read of a tag yields."""
         return (b"%08d" % tag * (size // 8 + 1))[:size]
 
 
 # --- HTTP -----------------------------------------------------------------------------------------
 class HttpTarget(Target):
-    """A target over HTTP."""
+    """A stub target over HTTP."""
 
     async def serve(self, reader, writer) -> None:
         while True:
@@ -187,11 +188,11 @@
             tag = int(head.split(b" ")[1].split(b"/")[-1], 16)
             self.begun.append((time.monotonic(), tag))
             if self.mode == "stall":
-                await asyncio.sleep(NEVER_ANSWERED)
+                await asyncio.sleep(NO_RESPONSE_SECONDS)
             message = http.Reader(response=False)
             message.feed(memoryview(head))
             while not message.done:
-                message.feed(memoryview(await reader.read(READ_SIZE) or b""))
+                message.feed(memoryview(await reader.read(MAX_READ_BYTES) or b""))
             mode = await self.act(tag, bytes(message.body))
             if mode == "serve":
                 body = b"" if message.head.method == "PUT" else self.content(tag, BLOCK)
@@ -203,7 +204,7 @@
 
 
 class HttpClient:
-    """Sends one request per connection, so that it can disconnect during it."""
+    """Sends one request per connection, so that a request can be abandoned by disconnecting."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -230,13 +231,13 @@
                     data,
                 )
             )
-            answer = await read_message(reader, response=True)
+            response = await read_message(reader, response=True)
         finally:
             writer.transport.abort()
-        head = answer.head
+        head = response.head
         end = {200: "served", 429: "refused", 503: "refused"}.get(head.status, "failed")
         return Result(
-            end, bytes(answer.body), time.monotonic() - started_at, float(head.fields.get("retry-after", 0))
+            end, bytes(response.body), time.monotonic() - started_at, float(head.fields.get("retry-after", 0))
         )
 
     def close(self) -> None: ...
@@ -244,7 +245,7 @@
 
 # --- NVMe/TCP ---------------------------------------------------------------------------------------
 class Pdus:
-    """A connection as a stream of PDUs."""
+    """Reads PDUs from a connection."""
 
     def __init__(self, reader, writer, allowed) -> None:
         self.reader = reader
@@ -260,14 +261,14 @@
             if pdu is not None:
                 return pdu
             if not consumed:
-                received = await self.reader.read(READ_SIZE)
+                received = await self.reader.read(MAX_READ_BYTES)
                 if not received:
                     raise EOFError
                 self.unparsed += received
 
 
 class NvmeTarget(Target):
-    """A target over NVMe/TCP: each connection is a queue with one command at a time."""
+    """A stub target over NVMe/TCP: each connection is a queue with one command at a time."""
 
     capsule = nvme.IN_CAPSULE
 
@@ -286,7 +287,7 @@
         if request.opcode == nvme.FABRICS:
             result = {nvme.CONNECT: 7, nvme.PROPERTY_GET: nvme.CSTS_READY}.get(request.nsid, 0)
         elif request.opcode == nvme.IDENTIFY:
-            page = bytearray(nvme.identify_controller(7, self.name, SUBSYSTEM, (1, 1, 1), 9))
+            page = bytearray(nvme.identify_controller(7, self.name, SUBSYSTEM_NQN, (1, 1, 1), 9))
             struct.pack_into("<I", page, 1792, (self.capsule + 64) // 16)
             stream.writer.write(nvme.data_pdu(nvme.C2H_DATA, request.cid, 0, 0, bytes(page)))
         elif request.opcode in (nvme.READ, nvme.WRITE):
@@ -294,7 +295,7 @@
             if request.opcode == nvme.WRITE and not data:
                 stream.writer.write(nvme.r2t(request.cid, 5, 0, request.length))
             if self.mode == "stall":
-                await asyncio.sleep(NEVER_ANSWERED)
+                await asyncio.sleep(NO_RESPONSE_SECONDS)
             while request.opcode == nvme.WRITE and len(data) < request.length:
                 data += (await stream.next()).data
             mode = await self.act(request.lba, data)
@@ -308,12 +309,12 @@
 
 
 class NvmeClient:
-    """A host with an association for each request, so that it can disconnect during it."""
+    """A host with one association per request, so that a request can be abandoned by disconnecting."""
 
     def __init__(self, port: int) -> None:
         self.port = port
         self.streams: list[Pdus] = []
-        self.retry_delays = (0, 0, 0)  # in units of 100 ms
+        self.retry_delays = (0, 0, 0)  # command retry delays in units of 100 ms
 
     async def open(self) -> None: ...
 
@@ -323,7 +324,7 @@
         self.streams.append(stream)
         writer.write(nvme.ic_request())
         nvme.parse_ic(await stream.next())
-        writer.write(nvme.connect(1, number, 16, keep_alive, controller, b"host", SUBSYSTEM, "nqn.host"))
+        writer.write(nvme.connect(1, number, 16, keep_alive, controller, b"host", SUBSYSTEM_NQN, "nqn.host"))
         completion = nvme.parse_completion(await stream.next())
         assert completion.status == nvme.OK
         return stream, completion.result
@@ -355,9 +356,9 @@
                 if pdu.kind == nvme.RESPONSE:
                     break
                 if pdu.kind == nvme.R2T:
-                    _, tag_of_transfer, offset, length = nvme.parse_data(pdu)
-                    piece = data[offset : offset + length]
-                    io.writer.write(nvme.data_pdu(nvme.H2C_DATA, 9, tag_of_transfer, offset, piece))
+                    _, transfer_tag, offset, length = nvme.parse_data(pdu)
+                    part = data[offset : offset + length]
+                    io.writer.write(nvme.data_pdu(nvme.H2C_DATA, 9, transfer_tag, offset, part))
                 else:
                     read_data += pdu.data
             completion = nvme.parse_completion(pdu)
@@ -378,7 +379,7 @@
             stream.writer.transport.abort()
 
 
-# --- The initiator and its surroundings ------------------------------------------------------------------
+# --- Initiator, discovery and targets ---------------------------------------------------------------
 class World:
     """One initiator with discovery, two targets and a client; `kind` is http or nvme."""
 
@@ -408,7 +409,7 @@
             shard + 1: Namespace(VOLUME, 0, shard, 1, 1 << 40, BLOCK, PER_UNIT) for shard in range(2)
         }
         opcodes = {nvme.READ: OpcodeMapping(0, DEADLINE), nvme.WRITE: OpcodeMapping(1, DEADLINE)}
-        mapping = Mapping(SUBSYSTEM, namespaces, opcodes) if self.kind == "nvme" else None
+        mapping = Mapping(SUBSYSTEM_NQN, namespaces, opcodes) if self.kind == "nvme" else None
         discovery_address = ("127.0.0.1", self.discovery.port)
         return Config(
             "n0",
@@ -439,7 +440,7 @@
         return self
 
     def changed(self, config: Config) -> Config:
-        """Return the configuration to use; subclasses change it."""
+        """Return the configuration to use; subclasses override this to adjust it."""
         return replace(config)
 
     async def __aexit__(self, *error: object) -> None:
@@ -464,5 +465,5 @@
         return await self.client.request(True, tag, Target.content(tag, size), shard, 1)
 
     def faults(self) -> list[dict]:
-        """Return the log lines of faults that the engine survived."""
+        """Return the logged faults, which the engine handles without stopping."""
         return [line for line in self.logged if line["event"] == "fault"]
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies above 64 KiB: responses are streamed, request bodies are limited by a memory budget."""
+"""Bodies above 64 KiB: responses are streamed, and a memory budget limits request bodies."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from stalltiller.adapters import http_server, http_target_client, request_timer
 from stalltiller.protocol import http
 from tests.stand_ins import read_message
-from tests.test_http_server import GET_REQUEST, VALID_FIELDS, play
+from tests.test_http_server import GET_REQUEST, VALID_FIELDS, run_scenario
 
 LONG_BODY = b"menu" * 100_000
 FRAMING_FIELDS = {
@@ -21,7 +21,7 @@
 
 
 def encode_response_parts(framing: str, body: bytes = LONG_BODY) -> list[bytes]:
-    """A head, the first half of a body and the second."""
+    """Return a response head and the two halves of its body."""
     parts = [body[: len(body) // 2], body[len(body) // 2 :]]
     if framing == "chunks":
         parts = [http.encode_chunk(part) for part in parts]
@@ -30,20 +30,25 @@
     return [b"HTTP/1.1 200 OK\r\n" + head + b"\r\n", *parts]
 
 
-def serve_in_parts(world, parts: list[bytes], go_on: asyncio.Event, end: bool) -> list[bool]:
-    """Have the first target send the last part once `go_on` is set; the list shows whether it did."""
+def serve_in_parts(
+    world, parts: list[bytes], may_finish: asyncio.Event, close_after_first: bool
+) -> list[bool]:
+    """Make the first target hold back the last part until `may_finish` is set.
+
+    The list that is returned is not empty once that part was written.
+    """
     written: list[bool] = []
 
-    async def serve(stream, out):
+    async def serve(stream, target_writer):
         while True:
             await read_message(stream)
             for part in parts[:-1]:
-                out.write(part)
-            await go_on.wait()
-            out.write(parts[-1])
-            await out.drain()
+                target_writer.write(part)
+            await may_finish.wait()
+            target_writer.write(parts[-1])
+            await target_writer.drain()
             written.append(True)
-            if end:
+            if close_after_first:
                 return
 
     world.targets[0].serve = serve
@@ -59,12 +64,12 @@
 @pytest.mark.parametrize("minor", [0, 1])
 @pytest.mark.parametrize("framing", list(FRAMING_FIELDS))
 def test_a_long_response_is_streamed(framing, minor):
-    async def scene(world, reader, writer):
-        go_on = asyncio.Event()
-        serve_in_parts(world, encode_response_parts(framing), go_on, framing == "close")
+    async def scenario(world, reader, writer):
+        may_finish = asyncio.Event()
+        serve_in_parts(world, encode_response_parts(framing), may_finish, framing == "close")
         writer.write(GET_REQUEST.replace(b"HTTP/1.1", b"HTTP/1.%d" % minor))
-        assert (await reader.readexactly(9)) == b"HTTP/1.1 "  # the target has not written all of it yet
-        go_on.set()
+        assert (await reader.readexactly(9)) == b"HTTP/1.1 "  # the target has not sent the second half yet
+        may_finish.set()
         message = http.Reader(response=True)
         unparsed = b"HTTP/1.1 "
         while not message.done:
@@ -78,87 +83,89 @@
         await world.until(lambda: engine.counts["relayed"] == engine.counts["served"] == 1)
         assert engine.open_request_count == 0 and world.app.target_client.response_budget.reserved == 0
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_both_connections_are_reused_after_a_long_response():
-    async def scene(world, reader, writer):
+    async def scenario(world, reader, writer):
         pool = world.app.target_client.pool
-        pool._avoided_idle_range = 0.0, 0.0  # the reuse delay is tested in test_races.py
-        go_on = asyncio.Event()
-        go_on.set()
-        serve_in_parts(world, encode_response_parts("chunks"), go_on, False)
+        pool._avoided_idle_range = 0.0, 0.0  # test_races.py covers the avoided range
+        may_finish = asyncio.Event()
+        may_finish.set()
+        serve_in_parts(world, encode_response_parts("chunks"), may_finish, False)
         for number in range(3):
             writer.write(GET_REQUEST.replace(b"id1", b"id%d" % number))
             assert bytes((await read_message(reader, response=True)).body) == LONG_BODY
         assert pool.opened_count == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("framing", list(FRAMING_FIELDS))
 def test_the_client_sees_that_a_long_response_is_truncated(framing):
-    async def scene(world, reader, writer):
-        async def serve(stream, out):
+    async def scenario(world, reader, writer):
+        async def serve(stream, target_writer):
             await read_message(stream)
-            out.write(b"".join(encode_response_parts(framing)[:2]))
-            await broken.wait()
-            out.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1" + bytes(7))
-            out.transport.abort()
+            target_writer.write(b"".join(encode_response_parts(framing)[:2]))
+            await may_abort.wait()
+            target_writer.get_extra_info("socket").setsockopt(
+                socket.SOL_SOCKET, socket.SO_LINGER, b"\1" + bytes(7)
+            )
+            target_writer.transport.abort()
 
-        broken = asyncio.Event()
+        may_abort = asyncio.Event()
         world.targets[0].serve = serve
         writer.write(GET_REQUEST)
         await reader.readuntil(b"\r\n\r\n")
-        broken.set()
+        may_abort.set()
         with pytest.raises(ConnectionResetError):
             await read_to_end(reader)
         assert world.app.engine.counts["broken_off"] == 1
-        assert len(world.targets[0].writers) <= 1  # it was not sent again
+        assert len(world.targets[0].writers) <= 1  # the request was not retried
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_long_response_that_stalls_is_aborted(monkeypatch):
     monkeypatch.setattr(http_target_client, "STREAM_STALL_TIMEOUT_SECONDS", 0.1)
 
-    async def scene(world, reader, writer):
+    async def scenario(world, reader, writer):
         serve_in_parts(world, encode_response_parts("length"), asyncio.Event(), False)
         writer.write(GET_REQUEST)
         with pytest.raises(ConnectionResetError):
             await read_to_end(reader)
         assert world.app.engine.counts["broken_off"] == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_client_that_does_not_read_slows_the_target_and_is_disconnected(monkeypatch):
+def test_a_client_that_does_not_read_pauses_the_target_and_is_disconnected(monkeypatch):
     monkeypatch.setattr(http_server, "UNREAD_TIMEOUT_SECONDS", 0.3)
 
-    async def scene(world, reader, writer):
-        go_on = asyncio.Event()
-        go_on.set()
+    async def scenario(world, reader, writer):
+        may_finish = asyncio.Event()
+        may_finish.set()
         body = bytes(24 << 20)
-        written = serve_in_parts(world, encode_response_parts("length", body), go_on, False)
+        written = serve_in_parts(world, encode_response_parts("length", body), may_finish, False)
         writer.transport.pause_reading()
         writer.write(GET_REQUEST)
         await world.until(lambda: world.app.engine.counts["relayed"] == 1)
         (client,) = world.app.listener._established
         assert client.transport.get_write_buffer_size() < 100_000
-        await world.until(lambda: not world.targets[0].writers)  # nobody wants the rest
+        await world.until(lambda: not world.targets[0].writers)  # the rest of the response is not needed
         assert not written
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_slow_client_receives_all_of_a_long_response(monkeypatch):
     monkeypatch.setattr(http_server, "UNREAD_TIMEOUT_SECONDS", 0.2)
 
-    async def scene(world, reader, writer):
-        go_on = asyncio.Event()
-        go_on.set()
+    async def scenario(world, reader, writer):
+        may_finish = asyncio.Event()
+        may_finish.set()
         body = bytes(12 << 20)
-        serve_in_parts(world, encode_response_parts("length", body), go_on, False)
+        serve_in_parts(world, encode_response_parts("length", body), may_finish, False)
         writer.write(GET_REQUEST)
         received = len(await reader.readuntil(b"\r\n\r\n")) * 0
         while received < len(body):
@@ -166,38 +173,38 @@
             await asyncio.sleep(0.01)
         assert received == len(body)
 
-    play(scene)
+    run_scenario(scenario)
 
 
 # --- Requests ---------------------------------------------------------------------------------------
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_long_body_reaches_its_target_unchanged(chunked):
-    async def scene(world, reader, writer):
-        raw = http.encode_request("PUT", "/write/9", VALID_FIELDS, LONG_BODY)
+def test_a_long_request_body_reaches_its_target_unchanged(chunked):
+    async def scenario(world, reader, writer):
+        encoded_request = http.encode_request("PUT", "/write/9", VALID_FIELDS, LONG_BODY)
         if chunked:
-            raw = (
-                raw.partition(b"Content-Length")[0]
+            encoded_request = (
+                encoded_request.partition(b"Content-Length")[0]
                 + b"Transfer-Encoding: chunked\r\n\r\n"
                 + http.encode_chunk(LONG_BODY)
                 + http.LAST_CHUNK
             )
-        writer.write(raw)
+        writer.write(encoded_request)
         assert (await read_message(reader, response=True)).head.status == 200
         assert world.targets[0].ran == [(9, LONG_BODY)]
         assert world.app.server.request_body_budget.reserved == 0
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_slow_body_is_waited_for_and_a_stalled_one_times_out(monkeypatch):
+def test_a_slow_request_body_is_accepted_and_a_stalled_one_times_out(monkeypatch):
     monkeypatch.setattr(request_timer, "REQUEST_TIMEOUT_SECONDS", 0.1)
     monkeypatch.setattr(request_timer, "MIN_BODY_RATE_BYTES_PER_SECOND", 20_000)
     monkeypatch.setattr("stalltiller.transport.listener.FIRST_REQUEST_TIMEOUT_SECONDS", 0.2)
 
-    async def scene(world, reader, writer):
-        raw = http.encode_request("PUT", "/write/9", VALID_FIELDS, bytes(80_000))
-        for at in range(0, len(raw), 8000):  # 0.5 s
-            writer.write(raw[at : at + 8000])
+    async def scenario(world, reader, writer):
+        encoded_request = http.encode_request("PUT", "/write/9", VALID_FIELDS, bytes(80_000))
+        for offset in range(0, len(encoded_request), 8000):  # takes 0.5 s in total
+            writer.write(encoded_request[offset : offset + 8000])
             await asyncio.sleep(0.05)
         assert (await read_message(reader, response=True)).head.status == 200
         writer.write(
@@ -205,47 +212,47 @@
         )
         assert (await asyncio.wait_for(read_message(reader, response=True), 5)).head.status == 408
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_bodies_are_limited_by_a_memory_budget_and_released():
-    async def scene(world, reader, writer):
+def test_request_bodies_are_limited_by_a_memory_budget_and_released():
+    async def scenario(world, reader, writer):
         world.app.server.request_body_budget._max_bytes = 300_000
-        raw = http.encode_request("PUT", "/write/9", VALID_FIELDS, LONG_BODY)
-        writer.write(raw)
+        encoded_request = http.encode_request("PUT", "/write/9", VALID_FIELDS, LONG_BODY)
+        writer.write(encoded_request)
         assert (await read_message(reader, response=True)).head.status == 503
         await world.until(lambda: world.app.server.request_body_budget.reserved == 0)
         assert world.app.engine.counts["taken"] == 0
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_the_memory_of_a_long_body_is_released_when_its_request_is_rejected():
-    async def scene(world, reader, writer):
-        raw = http.encode_request("PUT", "/write/9", VALID_FIELDS, LONG_BODY)
-        for status in (200, 409):  # the second time its id is not new
-            writer.write(raw)
+    async def scenario(world, reader, writer):
+        encoded_request = http.encode_request("PUT", "/write/9", VALID_FIELDS, LONG_BODY)
+        for status in (200, 409):  # the second request reuses the request ID
+            writer.write(encoded_request)
             assert (await read_message(reader, response=True)).head.status == status
             assert world.app.server.request_body_budget.reserved == 0
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_an_invalid_field_is_reported_before_a_long_body_has_arrived():
-    async def scene(world, reader, writer):
-        raw = http.encode_request("PUT", "/write/9", {**VALID_FIELDS, "Tier": "tin"}, LONG_BODY)
-        writer.write(raw[:1000])
+    async def scenario(world, reader, writer):
+        encoded_request = http.encode_request("PUT", "/write/9", {**VALID_FIELDS, "Tier": "tin"}, LONG_BODY)
+        writer.write(encoded_request[:1000])
         assert (await read_message(reader, response=True)).head.status == 400
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_write_whose_long_body_was_not_fully_sent_may_be_retried():
-    async def scene(world, reader, writer):
-        async def serve(stream, out):
+    async def scenario(world, reader, writer):
+        async def serve(stream, target_writer):
             await stream.readuntil(b"\r\n\r\n")
             world.targets[0].serve = serve_normally
-            out.transport.abort()  # unread bytes: a reset
+            target_writer.transport.abort()  # resets the connection, since bytes are unread
 
         serve_normally = world.targets[0].serve
         world.targets[0].serve = serve
@@ -253,19 +260,19 @@
         assert (await read_message(reader, response=True)).head.status == 200
         assert [tag for tag, _ in world.targets[0].ran] == [9]
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("head", [b"Transfer-Encoding: chunked\r\n\r\n", b"Content-Length: 100000\r\n\r\n"])
 def test_the_first_bytes_of_a_slow_response_are_streamed_early(head):
-    """Not before it has shown progress: a response that stalls can be retried."""
+    """Streaming starts only once a response makes progress, so that one that stalls can be retried."""
 
-    async def scene(world, reader, writer):
-        async def serve(stream, out):
+    async def scenario(world, reader, writer):
+        async def serve(stream, target_writer):
             await read_message(stream)
-            out.write(b"HTTP/1.1 200 OK\r\n" + head)
+            target_writer.write(b"HTTP/1.1 200 OK\r\n" + head)
             for _ in range(3):
-                out.write(http.encode_chunk(b"menu") if b"chunked" in head else b"menu")
+                target_writer.write(http.encode_chunk(b"menu") if b"chunked" in head else b"menu")
                 await asyncio.sleep(0.03)
             await asyncio.sleep(30)
 
@@ -274,4 +281,4 @@
         assert b"200" in await asyncio.wait_for(reader.readuntil(b"\r\n"), 5)
         assert world.app.engine.counts["relayed"] == 1
 
-    play(scene)
+    run_scenario(scenario)
