--- a/stalltiller/simulator/adapter.py
+++ b/stalltiller/simulator/adapter.py
@@ -1,6 +1,7 @@
-"""Hosts one scheduler per simulated initiator, driven by the simulator over standard input and output.
+"""Runs one scheduler per simulated initiator, driven by the simulator over standard input and output.
 
-It imports nothing but the standard library and the scheduler: a simulation starts hundreds of instances.
+Its only imports are the standard library, the scheduler and this package: a simulation starts hundreds of
+instances.
 """
 
 from __future__ import annotations
@@ -17,24 +18,24 @@
 
 
 class Instance:
-    """One simulated initiator: a scheduler whose clock begins when it starts."""
+    """One simulated initiator: a scheduler whose clock starts at 0."""
 
     def __init__(self, number: int, started: codec.InstanceStarted, clock_ns: int) -> None:
         self.number = number
-        self.base_ns = clock_ns
+        self.epoch_ns = clock_ns
         self.scheduler = Scheduler(codec.parse_settings(started.options), started.seed, 0.0)
 
     def handle(self, clock_ns: int, raw_events: list[Event | codec.RawTargetList]) -> list[bytes]:
-        """Pass events to the scheduler and return its actions, encoded."""
+        """Pass events to the scheduler and return its encoded actions."""
         events: list[Event] = [
-            codec.to_target_list_update(event, self.base_ns)
+            codec.to_target_list_update(event, self.epoch_ns)
             if isinstance(event, codec.RawTargetList)
             else event
             for event in raw_events
         ]
-        now = (clock_ns - self.base_ns) / NANOSECONDS_PER_SECOND
+        now = (clock_ns - self.epoch_ns) / NANOSECONDS_PER_SECOND
         return [
-            actions.encode_action(self.number, action, self.base_ns)
+            actions.encode_action(self.number, action, self.epoch_ns)
             for action in self.scheduler.handle(now, events)
         ]
 
@@ -44,8 +45,9 @@
 ) -> list[bytes]:
     """Process one batch and return the encoded records of the reply.
 
-    An instance's events reach its scheduler together and in order.  An exception of a scheduler becomes a
-    crash report in the reply; a WireError is raised.
+    The events of an instance are passed to its scheduler in one call, in their order.  An exception while an
+    instance starts or handles events becomes a crash report in the reply, except for a WireError in a
+    target list, which is raised.
     """
     pending: dict[int, list[Event | codec.RawTargetList]] = {}
     records: list[bytes] = []
@@ -76,18 +78,18 @@
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends; raises WireError on malformed input."""
+    """Reply to each batch until the input ends; raises WireError on malformed input."""
     reader = codec.BatchReader()
     instances: dict[int, Instance] = {}
     while (frame := codec.read_frame(source)) is not None:
-        events = reader.events(frame.record_count, frame.body)
+        events = reader.decode_events(frame.record_count, frame.body)
         records = process_batch(instances, events, frame.clock_ns)
         sink.write(actions.encode_reply(records))
         sink.flush()
 
 
 def main() -> int:
-    """Serve standard input; return the exit code.  Malformed input ends with a message."""
+    """Process standard input and return the exit code; malformed input is reported on standard error."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except codec.WireError as error:
--- a/stalltiller/simulator/codec.py
+++ b/stalltiller/simulator/codec.py
@@ -1,8 +1,8 @@
-"""Decodes the simulator's batches of event records; it translates and decides nothing.
+"""Decodes the simulator's batches of event records; it makes no decisions.
 
-The simulator sends batches and gets a reply for each (`simulator.actions`).  All numbers are little-endian,
-times are nanoseconds on the simulator's clock.  `BatchReader` owns the target lists that events refer to by
-number.
+The simulator sends batches and receives a reply to each (`simulator.actions`).  All numbers are
+little-endian, times are nanoseconds on the simulator's clock.  `BatchReader` keeps the target lists that
+events refer to by number.
 """
 
 from __future__ import annotations
@@ -45,13 +45,13 @@
     "to_target_list_update",
 ]
 
-FRAME_HEADER = struct.Struct("<IIQ")  # record count, bytes that follow the length, clock
-CLOCK_BYTES = 8  # the clock is counted in the length
+FRAME_HEADER = struct.Struct("<IIQ")  # number of records, number of bytes after this field, clock
+CLOCK_BYTES = 8  # the length field includes the clock
 TARGET_ROW = struct.Struct("<IHBHHBfQ")  # address, port, zone, kind, shard, status, weight, start time
 UINT16 = struct.Struct("<H")
 UINT32 = struct.Struct("<I")
 
-# Codes of the events.
+# Event codes.
 FIRST_BYTE = 0
 INSTANCE_STARTED = 1
 TARGET_ROWS = 2
@@ -64,7 +64,7 @@
 TIMER_FIRED = 9
 ATTEMPT_FINISHED = 10
 
-# Their fixed fields, in order, the instance's number first.
+# Fixed-size fields of each event; the first is the instance number.
 EVENT_FIELDS = {
     FIRST_BYTE: struct.Struct("<IQBIHQ"),
     INSTANCE_STARTED: struct.Struct("<IQ"),
@@ -77,11 +77,12 @@
     TIMER_FIRED: struct.Struct("<IQ"),
     ATTEMPT_FINISHED: struct.Struct("<IQBIHHQBHH"),
 }
-RETRY_BIT = 2  # of a request's flags
+# Bits of a request's flags field.
+RETRY_BIT = 2
 WRITE_BIT = 4
 
-# Enumerations by their number in the protocol.
-STATUSES = (
+# Enum members, indexed by their number in the protocol.
+ATTEMPT_STATUSES = (
     AttemptStatus.OK,
     AttemptStatus.ERROR,
     AttemptStatus.REJECTED,
@@ -92,14 +93,14 @@
     AttemptStatus.NOT_STARTED,
 )
 TARGET_STATUSES = (TargetStatus.REMOVED, TargetStatus.DRAINING, TargetStatus.READY)
-LIST_KINDS = (
+TARGET_LIST_KINDS = (
     TargetListKind.DELTA,
     TargetListKind.FULL,
     TargetListKind.CACHED,
     TargetListKind.FAILED,
 )
 
-TargetRows = tuple[tuple[Any, ...], ...]  # each with the fields of TARGET_ROW
+TargetRows = tuple[tuple[Any, ...], ...]  # the TARGET_ROW fields of each target
 
 
 class Frame(NamedTuple):
@@ -112,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceStarted:
-    """An instance starts, with its random seed and its options as text."""
+    """An instance starts with a random seed and its options as text."""
 
     seed: int
     options: str
@@ -120,11 +121,11 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceStopped:
-    """An instance stops at once."""
+    """An instance stops immediately; its pending events are dropped."""
 
 
 class RawTargetList(NamedTuple):
-    """A target list whose start times are still on the simulator's clock."""
+    """A target list with start times on the simulator's clock."""
 
     kind: TargetListKind
     rows: TargetRows
@@ -134,12 +135,12 @@
 
 
 def to_target_id(address: int, port: int) -> int:
-    """Combine a target's address and port into one opaque number."""
+    """Combine a target's address and port into its opaque id."""
     return address << 16 | port
 
 
 def read_frame(stream: BinaryIO) -> Frame | None:
-    """Read one batch; None at the end of the input.  Raises WireError if the input ends inside it."""
+    """Read one batch; None at the end of the input.  Raises WireError if it is truncated or too short."""
     header = stream.read(FRAME_HEADER.size)
     if not header:
         return None
@@ -147,7 +148,7 @@
         raise WireError("input ends inside a batch header")
     record_count, length, clock_ns = FRAME_HEADER.unpack(header)
     if length < CLOCK_BYTES:
-        raise WireError(f"batch length {length} leaves no room for the clock")
+        raise WireError(f"batch length {length} is too short for the clock")
     body_bytes = length - CLOCK_BYTES
     body = stream.read(body_bytes)
     if len(body) < body_bytes:
@@ -156,7 +157,7 @@
 
 
 def _decode_request(values: tuple[Any, ...]) -> Request:
-    _, request_id, units, initiators, flags, key, class_index, volume, plan_index, shard, time_left = values
+    _, request_id, units, initiators, flags, key, class_index, volume, plan_index, shard, left_ns = values
     return Request(
         request_id,
         class_index,
@@ -168,34 +169,34 @@
         None if shard < 0 else int(shard),
         bool(flags & WRITE_BIT),
         bool(flags & RETRY_BIT),
-        time_left / NANOSECONDS_PER_SECOND,
+        left_ns / NANOSECONDS_PER_SECOND,
     )
 
 
 def _decode_attempt_finished(values: tuple[Any, ...]) -> AttemptFinished:
-    _, request_id, attempt, address, port, status, latency, is_done, usage, other_units, report = values
+    _, request_id, attempt, address, port, status, latency_ns, is_done, usage, other_units, report = values
     return AttemptFinished(
         request_id,
         attempt,
         to_target_id(address, port),
-        STATUSES[status],
-        latency / NANOSECONDS_PER_SECOND,
+        ATTEMPT_STATUSES[status],
+        latency_ns / NANOSECONDS_PER_SECOND,
         bool(is_done),
-        (usage - 1) / 100 if usage else None,  # percent plus one; 0 means not measured
+        (usage - 1) / 100 if usage else None,  # encoded as percent plus one; 0: not measured
         float(other_units),
         report,
     )
 
 
 def _decode_first_byte(values: tuple[Any, ...]) -> FirstByte:
-    _, request_id, attempt, address, port, latency = values
-    return FirstByte(request_id, attempt, to_target_id(address, port), latency / NANOSECONDS_PER_SECOND)
+    _, request_id, attempt, address, port, latency_ns = values
+    return FirstByte(request_id, attempt, to_target_id(address, port), latency_ns / NANOSECONDS_PER_SECOND)
 
 
 def _decode_probe_finished(values: tuple[Any, ...]) -> ProbeFinished:
-    _, address, port, latency, status, report = values
-    latency_seconds = latency / NANOSECONDS_PER_SECOND
-    return ProbeFinished(to_target_id(address, port), latency_seconds, STATUSES[status], report)
+    _, address, port, latency_ns, status, report = values
+    latency_seconds = latency_ns / NANOSECONDS_PER_SECOND
+    return ProbeFinished(to_target_id(address, port), latency_seconds, ATTEMPT_STATUSES[status], report)
 
 
 def _decode_instance_started(values: tuple[Any, ...]) -> InstanceStarted:
@@ -217,14 +218,14 @@
 
 
 class BatchReader:
-    """Decodes batches; it keeps the numbered target lists that later events refer to."""
+    """Decodes batches and keeps the numbered target lists that later events refer to."""
 
     def __init__(self) -> None:
         self._rows_by_number: dict[int, TargetRows] = {}
         self._decoders = {**EVENT_DECODERS, TARGET_LIST: self._decode_target_list}
 
-    def events(self, count: int, body: bytes) -> list[tuple[int, InstanceEvent]]:
-        """Decode a batch of `count` records into pairs of an instance's number and its event.
+    def decode_events(self, count: int, body: bytes) -> list[tuple[int, InstanceEvent]]:
+        """Decode a batch of `count` records into pairs of instance number and event.
 
         Raises WireError on records that are unknown, incomplete or out of range.
         """
@@ -251,7 +252,7 @@
                 try:
                     events.append((values[0], self._decoders[code](values)))
                 except IndexError as error:
-                    raise WireError(f"a value out of range in event {code}") from error
+                    raise WireError(f"value out of range in event {code}") from error
         except (struct.error, IndexError) as error:
             raise WireError(f"batch body ends inside a record: {error}") from error
         if offset != len(body):
@@ -259,24 +260,24 @@
         return events
 
     def _read_target_rows(self, body: bytes, offset: int) -> int:
-        """Store a numbered target list and return the offset behind it."""
+        """Store a numbered target list and return the offset after it."""
         (number,) = UINT16.unpack_from(body, offset)
         (count,) = UINT32.unpack_from(body, offset + UINT16.size)
         offset += UINT16.size + UINT32.size
         end_offset = offset + count * TARGET_ROW.size
         if end_offset > len(body):
-            raise WireError("batch body ends inside a node list")
+            raise WireError("batch body ends inside a target list")
         self._rows_by_number[number] = tuple(TARGET_ROW.iter_unpack(body[offset:end_offset]))
         return end_offset
 
     def _decode_target_list(self, values: tuple[Any, ...]) -> RawTargetList:
         _, kind_number, _, rows_number = values
-        kind = LIST_KINDS[kind_number]
+        kind = TARGET_LIST_KINDS[kind_number]
         if kind is TargetListKind.FAILED:
             return RawTargetList(kind, ())
         rows = self._rows_by_number.get(rows_number)
         if rows is None:
-            raise WireError(f"node list {rows_number} was never sent")
+            raise WireError(f"target list {rows_number} was never sent")
         return RawTargetList(kind, rows)
 
 
@@ -293,10 +294,10 @@
     return struct.unpack_from(f"<{count}f", body, offset + 1), offset + 1 + 4 * count
 
 
-def to_target_list_update(raw_list: RawTargetList, base_ns: int) -> TargetListUpdate:
+def to_target_list_update(raw_list: RawTargetList, epoch_ns: int) -> TargetListUpdate:
     """Convert a raw target list to the clock of the instance that receives it.
 
-    `base_ns` is the simulator's time at which the instance's clock began; raises WireError on an unknown
+    `epoch_ns` is the simulator's time at which the instance's clock reads 0.  Raises WireError on an unknown
     target status.
     """
     try:
@@ -308,10 +309,10 @@
                 shard,
                 TARGET_STATUSES[status],
                 weight,
-                (started_ns - base_ns) / NANOSECONDS_PER_SECOND if started_ns else None,
+                (started_ns - epoch_ns) / NANOSECONDS_PER_SECOND if started_ns else None,
             )
             for address, port, zone, kind, shard, status, weight, started_ns in raw_list.rows
         )
     except IndexError as error:
-        raise WireError("a node state out of range") from error
+        raise WireError("target status out of range") from error
     return TargetListUpdate(raw_list.kind, targets)
--- a/stalltiller/simulator/errors.py
+++ b/stalltiller/simulator/errors.py
@@ -1,7 +1,7 @@
-"""The error of the simulator's protocol."""
+"""Errors of the simulator's protocol."""
 
 from __future__ import annotations
 
 
 class WireError(Exception):
-    """A frame or an option that does not follow the simulator's protocol."""
+    """A frame or an option violates the simulator's protocol."""
--- a/stalltiller/simulator/options.py
+++ b/stalltiller/simulator/options.py
@@ -1,7 +1,7 @@
-"""Options of the simulator, one `path=value` a line, read into the scheduler's settings.
+"""Reads the simulator's options, one `path=value` per line, into the scheduler's settings.
 
-Durations are written in nanoseconds under a path that ends in `-ns`.  Unknown paths are ignored, and absent
-ones mean that the deployment does not have the rule.  The operator's settings have the same paths.
+Durations are in nanoseconds, under paths that end in `-ns`.  Unknown paths are ignored; if the path of a rule
+is absent, the deployment does not have that rule.  The operator's settings use the same paths.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class OptionReader:
-    """Typed look-ups of options by path below a prefix; numbers that are malformed raise WireError."""
+    """Reads typed options by path below a prefix; raises WireError on a malformed number."""
 
     def __init__(self, values: dict[str, str], prefix: str = "") -> None:
         self._values = values
@@ -45,36 +45,36 @@
         return self.number(path) or 0.0
 
     def seconds(self, path: str) -> float | None:
-        """Return the duration under `path` and `-ns` in seconds, or None if it is absent."""
+        """Return the duration `<path>-ns` in seconds, or None if it is absent."""
         value = self.number(path + "-ns")
         return None if value is None else value / NANOSECONDS_PER_SECOND
 
     def seconds_or_zero(self, path: str) -> float:
-        """Return the duration under `path` and `-ns` in seconds, or 0 if it is absent."""
+        """Return the duration `<path>-ns` in seconds, or 0 if it is absent."""
         return self.seconds(path) or 0.0
 
     def flag(self, path: str) -> bool:
         """Return whether the option is `true`."""
         return self.text(path) == "true"
 
-    def names(self, path: str) -> list[str]:
+    def text_list(self, path: str) -> list[str]:
         """Return the parts of a comma-separated option, without empty ones."""
-        return [name for name in (self.text(path) or "").split(",") if name]
+        return [part for part in (self.text(path) or "").split(",") if part]
 
     def items(self, path: str) -> list[OptionReader]:
-        """Return a reader for each item of a list, whose length stands under `path` and `.count`."""
+        """Return a reader for each item of the list `path`, whose length is `<path>.count`."""
         count = int(self.number_or_zero(path + ".count"))
         return [OptionReader(self._values, f"{self._prefix}{path}.{index}.") for index in range(count)]
 
 
 def parse_settings(text: str) -> Settings:
-    """Parse an initiator's options, one `path=value` a line; raises WireError on a malformed number."""
+    """Parse an initiator's options, one `path=value` per line; raises WireError on a malformed number."""
     pairs = (line.partition("=") for line in text.splitlines() if "=" in line)
     return settings_of({path.strip(): value.strip() for path, _, value in pairs})
 
 
 def settings_of(values: dict[str, str]) -> Settings:
-    """Read options by path into settings; raises WireError on a malformed number."""
+    """Convert options, keyed by path, to settings; raises WireError on a malformed number."""
     options = OptionReader(values)
     classes = _request_classes(options)
     plans = tuple(_plan(item) for item in options.items("contracts"))
@@ -96,7 +96,7 @@
         meter_period=options.seconds_or_zero("family-info.metering"),
         other_usage_reported=options.flag("family-info.tells-elsewhere"),
         list_pushed=options.text("membership-mode") != "ask",
-        report_fields=tuple(options.names("feedback.fields")),
+        report_fields=tuple(options.text_list("feedback.fields")),
         reports_in_answers=options.text("feedback.how") == "piggyback",
         may_probe=options.flag("limits.probes"),
         may_message=options.flag("limits.peers"),
@@ -110,13 +110,13 @@
 
 
 def _request_classes(options: OptionReader) -> tuple[RequestClass, ...]:
-    """Read the classes; whether they write stands in a list apart, by their index.
+    """Read the request classes; a separate list states, by class index, which of them write.
 
-    Guards against a list of another length, as files have it once classes were added or dropped: its
-    positions mean nothing then.
+    That list is ignored if its length differs from the number of classes, as in files where classes were
+    added or removed: its positions are then meaningless.
     """
     items = options.items("classes")
-    write_flags = options.names("family-info.changes-data")
+    write_flags = options.text_list("family-info.changes-data")
     has_write_flags = len(write_flags) == options.number_or_zero("classes.count")
     return tuple(
         _request_class(item, write_flags[index] == "true" if has_write_flags else None)
--- a/stalltiller/trace.py
+++ b/stalltiller/trace.py
@@ -1,13 +1,13 @@
-"""Read the traces of many initiators: how requests ended, and one request's way through the fleet.
+"""Summarize the traces of many initiators, or follow one request or slow start through the fleet.
 
-    python -m stalltiller.trace LOG...              how requests ended, by kind and by span of time
-    python -m stalltiller.trace LOG... --label ID   each step of the request a client named so, in every log
-    python -m stalltiller.trace LOG... --slow-start TARGET   what a warming target was sent in each second
+    python -m stalltiller.trace LOG...              request outcomes, in total and per time interval
+    python -m stalltiller.trace LOG... --label ID   each step of the request with X-Request-ID ID, in all logs
+    python -m stalltiller.trace LOG... --slow-start TARGET   load on a warming target per second
 
-A log is one JSON line an event, as an initiator writes it with `STALLTILLER_TRACE=1`; a line may begin with
-a time of the reader's own (as a bench writes its logs), which is then the time shown.  Request ids begin
-anew with each start of a process, so each start begins a new run in its log.  Logs of versions that used
-other names for the events are read as well.
+A log has one JSON line per event, as an initiator writes it with `STALLTILLER_TRACE=1`.  A line may begin
+with another timestamp, as in the logs of benchmarks, which then replaces the time of the event.  Request ids
+start over when a process restarts, so each process start begins a new run in its log.  Logs of earlier
+versions, which named the events differently, are read as well.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
 from stalltiller.slow_start_trace import WarmingAttempt, describe_slow_start
 
-SUMMARY_SPAN_SECONDS = 5.0  # of one row of the summary: short enough to see a restart or a drain
-OPEN_OUTCOME = "open"  # shown for a request that was not finished when its log ended
-HIDDEN_DETAILS = {"time", "name", "event", "label"}  # shown elsewhere in the row of a step, or in the call
+SUMMARY_INTERVAL_SECONDS = 5.0  # one row of the summary; short enough to show a restart or a drain
+OPEN_OUTCOME = "open"  # shown for a request that is unfinished at the end of its log
+HIDDEN_DETAILS = {"time", "name", "event", "label"}  # shown in other columns or given on the command line
 
 
 class TraceEvent(StrEnum):
-    """The steps of a request."""
+    """The kinds of steps of a request."""
 
     REQUEST_RECEIVED = "request_received"
     ATTEMPT_STARTED = "attempt_started"
@@ -39,13 +39,13 @@
 
 
 PROCESS_STARTED = "started"
-EARLIER_EVENT_NAMES = {
+LEGACY_EVENT_NAMES = {
     "taken": TraceEvent.REQUEST_RECEIVED,
     "attempt": TraceEvent.ATTEMPT_STARTED,
     "attempt_ended": TraceEvent.ATTEMPT_FINISHED,
     "answered": TraceEvent.REQUEST_FINISHED,
 }
-EARLIER_FIELD_NAMES = {
+LEGACY_FIELD_NAMES = {
     "node": "target",
     "how": "outcome",
     "left_ms": "remaining_ms",
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class Step:
-    """One event of a request; `time` is the log's or the reader's, in seconds."""
+    """One event of a request; `time` in seconds is the line's timestamp, or else the event's time."""
 
     time: float
     event: TraceEvent
@@ -65,20 +65,20 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """What one run of one initiator's process did with one request."""
+    """The steps of one request in one run of an initiator's process."""
 
-    run: str  # the log's name and the number of the run in it
-    label: str  # the client's name for the request
+    run: str  # name of the log and number of the run in it
+    label: str  # the request's X-Request-ID
     steps: list[Step] = field(default_factory=list)
 
     @property
     def received_at(self) -> float:
-        """The time of the first step."""
+        """Time of the first step."""
         return self.steps[0].time
 
     @property
     def outcome(self) -> str:
-        """How the request ended; `open` if the log does not say."""
+        """Final outcome of the request; `open` if the log has none."""
         outcomes = [
             step.details["outcome"] for step in self.steps if step.event is TraceEvent.REQUEST_FINISHED
         ]
@@ -86,14 +86,14 @@
 
     @property
     def statuses(self) -> tuple[str, ...]:
-        """How its attempts ended, in order."""
+        """Final statuses of the attempts, in order."""
         return tuple(
             step.details["status"] for step in self.steps if step.event is TraceEvent.ATTEMPT_FINISHED
         )
 
 
 def read_events(lines: Iterable[str]) -> Iterator[tuple[float, dict[str, Any]]]:
-    """The events of a log, with their times; lines that are no events are skipped."""
+    """Yield the events of a log with their times; lines that are not events are skipped."""
     for line in lines:
         prefix, brace, rest = line.partition("{")
         try:
@@ -104,9 +104,9 @@
 
 
 def read_traces(log_name: str, lines: Iterable[str]) -> list[RequestTrace]:
-    """The requests of one log, in the order of their arrival."""
+    """Return the requests of one log in order of arrival."""
     traces: list[RequestTrace] = []
-    traces_by_id: dict[int, RequestTrace] = {}  # of the current run
+    traces_by_id: dict[int, RequestTrace] = {}  # requests of the current run only
     run_number = 0
     for time, details in read_events(lines):
         if details.get("event") == PROCESS_STARTED:
@@ -125,10 +125,10 @@
 
 
 def _trace_event(details: dict[str, Any]) -> TraceEvent | None:
-    """The step that a log line describes, by its present or earlier name; None if it is no step."""
+    """Return the kind of step under its current or legacy name; None if the event is no step."""
     name = str(details.get("event"))
-    if name in EARLIER_EVENT_NAMES:
-        return EARLIER_EVENT_NAMES[name]
+    if name in LEGACY_EVENT_NAMES:
+        return LEGACY_EVENT_NAMES[name]
     try:
         return TraceEvent(name)
     except ValueError:
@@ -136,42 +136,42 @@
 
 
 def _rename_fields(details: dict[str, Any]) -> dict[str, Any]:
-    return {EARLIER_FIELD_NAMES.get(name, name): value for name, value in details.items()}
+    return {LEGACY_FIELD_NAMES.get(name, name): value for name, value in details.items()}
 
 
 def summarize(traces: list[RequestTrace]) -> str:
-    """How requests ended: by outcome and the statuses of their attempts, and by span of time."""
-    endings = Counter((trace.outcome, trace.statuses) for trace in traces)
+    """Return the counts of requests by outcome and attempt statuses, and by outcome per interval."""
+    ending_counts = Counter((trace.outcome, trace.statuses) for trace in traces)
     first_at = min((trace.received_at for trace in traces), default=0.0)
-    spans = Counter(
-        (int((trace.received_at - first_at) // SUMMARY_SPAN_SECONDS), trace.outcome) for trace in traces
+    interval_counts = Counter(
+        (int((trace.received_at - first_at) // SUMMARY_INTERVAL_SECONDS), trace.outcome) for trace in traces
     )
     outcomes = sorted({trace.outcome for trace in traces})
     rows = [f"{len(traces)} requests"]
     rows += [
         f"{count:7d}  {outcome:8s} {' '.join(statuses) or '(no attempt)'}"
-        for (outcome, statuses), count in endings.most_common()
+        for (outcome, statuses), count in ending_counts.most_common()
     ]
     rows.append("from s  " + " ".join(f"{outcome:>8s}" for outcome in outcomes))
-    for span in sorted({span for span, _ in spans}):
-        counts = " ".join(f"{spans[(span, outcome)]:8d}" for outcome in outcomes)
-        rows.append(f"{span * SUMMARY_SPAN_SECONDS:6.0f}  {counts}")
+    for interval in sorted({interval for interval, _ in interval_counts}):
+        counts = " ".join(f"{interval_counts[(interval, outcome)]:8d}" for outcome in outcomes)
+        rows.append(f"{interval * SUMMARY_INTERVAL_SECONDS:6.0f}  {counts}")
     return "\n".join(rows)
 
 
 def follow_request(traces: list[RequestTrace], label: str) -> str:
-    """Every step of the request that a client named so, in the order of time."""
+    """Return every step of the requests with this label, ordered by the arrival of the request."""
     labelled = [trace for trace in traces if trace.label == label]
     rows = []
     for trace in sorted(labelled, key=lambda trace: trace.received_at):
         for step in trace.steps:
             shown = {name: value for name, value in step.details.items() if name not in HIDDEN_DETAILS}
             rows.append(f"{step.time:10.3f}  {trace.run:12s} {step.event:16s} {orjson.dumps(shown).decode()}")
-    return "\n".join(rows) or f"no request {label!r}"
+    return "\n".join(rows) or f"no request with label {label!r}"
 
 
 def attempts_at(traces: list[RequestTrace], target: str) -> list[WarmingAttempt]:
-    """Return all attempts at a target, with what their initiators knew of its slow start."""
+    """Return all attempts at a target, each with its initiator's view of the slow start."""
     return [
         WarmingAttempt(
             time=step.time,
@@ -188,7 +188,7 @@
 
 
 def _served_at(trace: RequestTrace, attempt: Step) -> float | None:
-    """Return when an attempt was answered; None if it failed or the log does not say."""
+    """Return when an attempt succeeded; None if it failed or the log does not show its end."""
     for step in trace.steps:
         is_same = step.details.get("attempt") == attempt.details.get("attempt")
         if step.event is TraceEvent.ATTEMPT_FINISHED and is_same and step.details.get("status") == "ok":
@@ -203,7 +203,7 @@
     parser.add_argument("logs", nargs="+", help="logs written with STALLTILLER_TRACE=1")
     views = parser.add_mutually_exclusive_group()
     views.add_argument("--label", help="the X-Request-ID of a request to follow")
-    views.add_argument("--slow-start", metavar="TARGET", help="the target whose slow start to show")
+    views.add_argument("--slow-start", metavar="TARGET", help="show the slow start of this target")
     options = parser.parse_args(arguments)
     traces: list[RequestTrace] = []
     for path in options.logs:
--- a/tests/test_simulator_codec.py
+++ b/tests/test_simulator_codec.py
@@ -1,4 +1,4 @@
-"""The codec: every event and action, framing, options and bad input."""
+"""Tests the simulator's protocol: every event and action, framing, options and malformed input."""
 
 from __future__ import annotations
 
@@ -44,25 +44,25 @@
 
 
 def decode_one(body: bytes) -> tuple[int, object]:
-    (found,) = codec.BatchReader().events(1, body)
-    return found
+    (decoded,) = codec.BatchReader().decode_events(1, body)
+    return decoded
 
 
 def batch(count: int, body: bytes, clock: int = CLOCK) -> bytes:
     return struct.pack("<IIQ", count, 8 + len(body), clock) + body
 
 
-def test_request():
+def test_a_request_is_decoded():
     body = struct.pack("<BIQffHQHQIfQ", 8, 3, 99, 2.0, 3.0, 6, 77, 1, 55, 2, 4.0, 250_000_000)
     assert decode_one(body) == (3, Request(99, 1, 2, 55, 2.0, 3, 77, 4, True, True, 0.25))
 
 
-def test_request_for_a_new_object_has_no_shard():
+def test_a_request_for_a_new_object_has_no_shard():
     body = struct.pack("<BIQffHQHQIfQ", 8, 3, 99, 2.0, 3.0, 0, 0, 1, 55, 2, -1.0, 250_000_000)
     assert decode_one(body)[1].shard is None
 
 
-def test_attempt_finished_with_a_load_report():
+def test_a_finished_attempt_with_a_load_report_is_decoded():
     body = (
         struct.pack("<BIQB", 10, 3, 99, 1)
         + ADDRESS
@@ -74,7 +74,7 @@
     )
 
 
-def test_attempt_finished_without_measurements():
+def test_a_finished_attempt_without_measurements_is_decoded():
     body = struct.pack("<BIQB", 10, 3, 99, 0) + ADDRESS + struct.pack("<HQBHHB", 0, 1, 0, 0, 0, 0)
     event = decode_one(body)[1]
     assert (event.volume_usage, event.other_units, event.report, event.request_done) == (None, 0.0, (), False)
@@ -98,24 +98,28 @@
         ),
     ],
 )
-def test_other_events(body, event):
+def test_events_of_other_kinds_are_decoded(body, event):
     assert decode_one(body) == (3, event)
 
 
-def target_rows(number: int, *states: int) -> bytes:
-    rows = b"".join(ADDRESS + struct.pack("<BHHBfQ", 1, 2, 5, state, 1.5, CLOCK - 10**9) for state in states)
-    return struct.pack("<BHI", 2, number, len(states)) + rows
+def target_rows(number: int, *statuses: int) -> bytes:
+    rows = b"".join(
+        ADDRESS + struct.pack("<BHHBfQ", 1, 2, 5, status, 1.5, CLOCK - 10**9) for status in statuses
+    )
+    return struct.pack("<BHI", 2, number, len(statuses)) + rows
 
 
-def test_target_lists_resolve_in_order_even_when_a_number_is_reused():
+def test_target_lists_are_resolved_in_order_even_if_a_number_is_reused():
     list_event = struct.pack("<BIBIH", 5, 3, 1, 40, 6)
-    found = codec.BatchReader().events(4, target_rows(6, 2) + list_event + target_rows(6, 1) + list_event)
-    lists = [codec.to_target_list_update(raw, CLOCK) for _, raw in found]
-    assert [item.targets[0].status for item in lists] == [
+    decoded = codec.BatchReader().decode_events(
+        4, target_rows(6, 2) + list_event + target_rows(6, 1) + list_event
+    )
+    updates = [codec.to_target_list_update(raw_list, CLOCK) for _, raw_list in decoded]
+    assert [update.targets[0].status for update in updates] == [
         TargetStatus.READY,
         TargetStatus.DRAINING,
     ]
-    assert lists[0] == TargetListUpdate(
+    assert updates[0] == TargetListUpdate(
         TargetListKind.FULL,
         (Target(TARGET, 1, 2, 5, TargetStatus.READY, 1.5, -1.0),),
     )
@@ -143,25 +147,25 @@
         (FetchTargetList(), struct.pack("<BI", 11, 3)),
     ],
 )
-def test_actions(action, body):
+def test_actions_are_encoded(action, body):
     assert actions.encode_action(3, action, CLOCK) == body
 
 
-def test_crash_report_and_reply():
+def test_a_crash_report_is_encoded_and_joined_into_a_reply():
     report = actions.encode_crash_report(3, "no")
     assert report == struct.pack("<BIH2s", 9, 3, 2, b"no")
     assert actions.encode_reply([report]) == struct.pack("<II", 4 + len(report), 1) + report
 
 
-def test_empty_batch():
+def test_an_empty_batch_gets_an_empty_reply():
     sink = io.BytesIO()
     adapter.run(io.BytesIO(batch(0, b"")), sink)
     assert sink.getvalue() == bytes.fromhex("0400000000000000")
 
 
-def test_very_large_batch():
+def test_a_very_large_batch_is_decoded():
     body = struct.pack("<BIQ", 9, 3, 77) * 300_000
-    assert len(codec.BatchReader().events(300_000, body)) == 300_000
+    assert len(codec.BatchReader().decode_events(300_000, body)) == 300_000
 
 
 @pytest.mark.parametrize(
@@ -175,13 +179,13 @@
         (batch(1, struct.pack("<BIBIH", 5, 3, 0, 1, 4)), "never sent"),
     ],
 )
-def test_malformed_input_ends_with_a_message_and_no_traceback(data, message):
-    done = subprocess.run(
+def test_malformed_input_ends_the_program_with_a_message_and_no_traceback(data, message):
+    completed = subprocess.run(
         [sys.executable, "-m", "stalltiller.simulator.adapter"], input=data, capture_output=True, timeout=30
     )
-    assert done.returncode == 2
-    assert message in done.stderr.decode()
-    assert "Traceback" not in done.stderr.decode()
+    assert completed.returncode == 2
+    assert message in completed.stderr.decode()
+    assert "Traceback" not in completed.stderr.decode()
 
 
 OPTIONS = """balancers=4
@@ -208,37 +212,42 @@
 """
 
 
-def test_options():
-    found = codec.parse_settings(OPTIONS)
-    (cls,), (plan,) = found.classes, found.plans
-    assert (cls.latency_objective, cls.deadline, cls.idempotency, cls.deduplication_scope) == (
+def test_options_are_parsed_into_settings():
+    parsed = codec.parse_settings(OPTIONS)
+    (request_class,), (plan,) = parsed.classes, parsed.plans
+    assert (
+        request_class.latency_objective,
+        request_class.deadline,
+        request_class.idempotency,
+        request_class.deduplication_scope,
+    ) == (
         0.25,
         2.0,
         Idempotency.IDEMPOTENCY_KEY,
         DeduplicationScope.SHARD,
     )
-    assert cls.in_order and cls.is_write and cls.deduplication_window == 4.0
+    assert request_class.in_order and request_class.is_write and request_class.deduplication_window == 4.0
     assert (plan.limit, plan.burst, plan.reservation, plan.weight) == (31.0, 41.0, 2.5, 3.0)
-    assert not found.list_pushed and found.initiator_count == 4 and found.max_attempts == 4
+    assert not parsed.list_pushed and parsed.initiator_count == 4 and parsed.max_attempts == 4
     assert (
-        found.rules.retry_budget_base,
-        found.rules.retry_budget_fraction,
-        found.rules.retry_budget_window,
+        parsed.rules.retry_budget_base,
+        parsed.rules.retry_budget_fraction,
+        parsed.rules.retry_budget_window,
     ) == (3.0, 0.1, 9.0)
-    assert found.rules.ordering_pause is None
+    assert parsed.rules.ordering_pause is None
 
 
-def test_absent_options_are_no_error():
-    found = codec.parse_settings("")
+def test_absent_options_get_default_values():
+    parsed = codec.parse_settings("")
     assert (
-        found.classes == ()
-        and found.plans == ()
-        and found.list_pushed
-        and found.rules.list_poll_interval is None
+        parsed.classes == ()
+        and parsed.plans == ()
+        and parsed.list_pushed
+        and parsed.rules.list_poll_interval is None
     )
 
 
-def test_an_option_that_is_not_a_number_is_named():
+def test_the_error_for_a_malformed_number_names_the_option():
     with pytest.raises(codec.WireError, match="balancers"):
         codec.parse_settings("balancers=many")
 
@@ -248,7 +257,7 @@
     return struct.pack("<BIQI", 1, number, 5, len(text)) + text
 
 
-def test_an_exception_of_the_scheduler_is_reported(monkeypatch):
+def test_an_exception_in_the_scheduler_is_reported(monkeypatch):
     def crash(*_args):
         raise RuntimeError("broken on purpose")
 
@@ -258,13 +267,13 @@
     assert actions.encode_crash_report(3, "RuntimeError: broken on purpose") in sink.getvalue()
 
 
-def test_an_instance_restarted_within_a_batch_is_new_and_stopped_instances_send_nothing():
+def test_a_restart_within_a_batch_creates_a_new_instance_and_stopped_instances_send_nothing():
     instances: dict[int, adapter.Instance] = {}
     adapter.process_batch(instances, [(3, codec.InstanceStarted(5, OPTIONS))], CLOCK)
-    before = instances[3]
+    first_instance = instances[3]
     adapter.process_batch(
         instances, [(3, codec.InstanceStopped()), (3, codec.InstanceStarted(6, OPTIONS))], CLOCK + 1
     )
-    assert instances[3] is not before
+    assert instances[3] is not first_instance
     adapter.process_batch(instances, [(3, codec.InstanceStopped())], CLOCK + 2)
     assert adapter.process_batch(instances, [(3, TimerFired(1))], CLOCK + 3) == []
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""Reading traces: a request's steps through restarts, in an initiator's lines and in a bench's."""
+"""Tests reading traces: across process restarts, in logs of initiators and of benchmarks."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from stalltiller.trace import follow_request, main, read_traces, summarize
 
-RUN = [
+CURRENT_LOG = [
     '{"time":1.0,"event":"started"}',
     '{"time":1.1,"event":"request_received","id":1,"label":"a"}',
     '{"time":1.2,"event":"attempt_started","id":1,"attempt":0,"target":"s-1"}',
@@ -15,7 +15,7 @@
     "not json",
     '{"time":"x"}',
 ]
-EARLIER_RUN = [  # the same in the names of versions up to f5167fe
+LEGACY_LOG = [  # the same events under the names of versions up to f5167fe
     '{"time":1.0,"event":"started"}',
     '{"time":1.1,"event":"taken","id":1,"label":"a"}',
     '{"time":1.2,"event":"attempt","id":1,"attempt":0,"node":"s-1"}',
@@ -24,20 +24,22 @@
     "not json",
     '{"time":"x"}',
 ]
-both_versions = pytest.mark.parametrize("run", [RUN, EARLIER_RUN], ids=["present", "earlier"])
+both_log_versions = pytest.mark.parametrize("log", [CURRENT_LOG, LEGACY_LOG], ids=["current", "legacy"])
 
 
-@both_versions
+@both_log_versions
 @pytest.mark.parametrize(
     ("prefix", "line_count", "outcome", "statuses", "received_at"),
     [
         ("", 7, "failed", ("reset",), 1.1),
-        ("7.5 ", 7, "failed", ("reset",), 7.5),  # a bench's own times go first
+        ("7.5 ", 7, "failed", ("reset",), 7.5),  # timestamps of a benchmark replace the event times
         ("", 3, "open", (), 1.1),
     ],
 )
-def test_a_trace_keeps_how_a_request_ended(run, prefix, line_count, outcome, statuses, received_at):
-    [trace] = read_traces("n0", [prefix + line for line in run[:line_count]])
+def test_a_trace_holds_the_outcome_and_attempt_statuses_of_a_request(
+    log, prefix, line_count, outcome, statuses, received_at
+):
+    [trace] = read_traces("n0", [prefix + line for line in log[:line_count]])
     assert (trace.outcome, trace.statuses, trace.received_at, trace.run) == (
         outcome,
         statuses,
@@ -46,22 +48,22 @@
     )
 
 
-@both_versions
-def test_the_same_id_after_a_restart_is_another_request(run):
-    traces = read_traces("n0", run + [line.replace('"a"', '"b"') for line in run])
+@both_log_versions
+def test_a_request_id_reused_after_a_restart_is_a_separate_request(log):
+    traces = read_traces("n0", log + [line.replace('"a"', '"b"') for line in log])
     assert [trace.run for trace in traces] == ["n0#1", "n0#2"]
     assert "n0#2" in follow_request(traces, "b")
     assert "2 requests" in summarize(traces)
-    assert follow_request(traces, "c") == "no request 'c'"
+    assert follow_request(traces, "c") == "no request with label 'c'"
 
 
-def test_logs_of_both_versions_are_shown_alike():
-    present, earlier = read_traces("n0", RUN), read_traces("n0", EARLIER_RUN)
-    assert follow_request(present, "a") == follow_request(earlier, "a")
-    assert summarize(present) == summarize(earlier)
+def test_current_and_legacy_logs_give_the_same_output():
+    current, legacy = read_traces("n0", CURRENT_LOG), read_traces("n0", LEGACY_LOG)
+    assert follow_request(current, "a") == follow_request(legacy, "a")
+    assert summarize(current) == summarize(legacy)
 
 
-def test_the_slow_start_of_a_target_is_shown_by_second_over_all_logs(capsys, tmp_path):
+def test_the_slow_start_of_a_target_is_shown_per_second_across_all_logs(capsys, tmp_path):
     state = '{"target_age":%s,"process_age":%s,"share":0.5,"other_initiators":1.0,"overload_backoff":1.0}'
     logs = {
         "n0.log": [
@@ -73,9 +75,9 @@
         ],
         "n1.log": [
             '{"time":9.0,"event":"request_received","id":1,"units":9.0}',
-            '{"time":9.5,"event":"attempt_started","id":1,"attempt":0,"target":"s-1"}',  # before its start
+            '{"time":9.5,"event":"attempt_started","id":1,"attempt":0,"target":"s-1"}',  # before the start
             '{"time":10.2,"event":"request_received","id":2,"units":1.0}',
-            '{"time":10.3,"event":"attempt_started","id":2,"attempt":1,"target":"s-1"}',  # unaware of it
+            '{"time":10.3,"event":"attempt_started","id":2,"attempt":1,"target":"s-1"}',  # no slow-start data
             '{"time":12.4,"event":"request_received","id":3,"units":3.0}',
             '{"time":12.5,"event":"attempt_started","id":3,"attempt":0,"target":"s-1","slow_start":%s}'
             % (state % (2.5, 8.0)),
@@ -92,4 +94,4 @@
     ]
     assert [row[7] for row in rows] == ["1", "0", "0"]
     assert main([str(tmp_path / "n0.log"), "--slow-start", "s-2"]) == 0
-    assert capsys.readouterr().out == "no attempt while it warmed up\n"
+    assert capsys.readouterr().out == "no attempts at the target while it was warming up\n"
