--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,7 +1,7 @@
-"""Plots what `bench.mass_restart --series FILE` counted: `python -m bench.plots FILE PICTURE`.
+"""Plots the counts that `bench.mass_restart --series FILE` wrote: `python -m bench.plots FILE PICTURE`.
 
-There is one column for each configuration.  Its rows show, per second and from 4 s before the restart on, the
-reads asked for and served in time, the list calls, the new connections, and the requests sent to targets.
+There is one column for each configuration.  Its rows show rates from 4 s before the restart on: reads
+requested and served in time, target list calls, new connections, and requests sent to targets.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 ROWS = (
     ("reads per second", ("asked", "served")),
-    ("list calls per second", ("list_calls",)),
+    ("target list calls per second", ("list_calls",)),
     ("new connections per second", ("connections",)),
     ("requests to targets per second", ("sends",)),
 )
 TITLES = {
     "on": "snapshots, paced",
     "no_ramp": "snapshots",
-    "off": "neither",
+    "off": "no snapshots, not paced",
     "cold": "state lost, paced",
     "cold_no_ramp": "state lost",
 }
@@ -33,7 +33,7 @@
 
 
 def plot(results: list[dict], picture: Path) -> None:
-    """Plot the series of all configurations into one picture."""
+    """Plot the series of all configurations and save the picture."""
     figure, axes = pyplot.subplots(
         len(ROWS),
         len(results),
@@ -50,13 +50,13 @@
             if len(series_names) > 1 and column == 0:
                 axes[row][column].legend(fontsize=7)
         axes[0][column].set_title(TITLES.get(result["way"], result["way"]), fontsize=9)
-        axes[-1][column].set_xlabel("s since the restart", fontsize=8)
+        axes[-1][column].set_xlabel("seconds since the restart", fontsize=8)
     figure.tight_layout()
     figure.savefig(picture, dpi=90)
 
 
 def plot_series(axis: pyplot.Axes, result: dict, series_names: tuple[str, ...]) -> None:
-    """Plot some series of one configuration."""
+    """Plot the named series of one configuration."""
     for name in series_names:
         axis.step(result["at"], result[name], where="post", label=name, linewidth=1.0)
     axis.axvline(0.0, color="grey", linewidth=0.6)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Random valid event sequences keep the seven rules, under settings unlike any deployment."""
+"""Checks the seven rules on random valid event sequences, under settings unlike any deployment."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 )
 from stalltiller.scheduling.scheduler import Scheduler
 from tests.helpers import entry, plan, request, request_class, rules, settings
-from tests.rule_checker import RuleBrokenError, World, target_list
+from tests.rule_checker import RuleViolationError, SchedulerSimulation, target_list
 
 CLASSES = (
     request_class(latency_objective=0.2, deadline=1.0),
@@ -90,22 +90,21 @@
 
 def play(
     scheduler: object, scheduler_settings: Settings, arrivals: list, results: list, list_changes: list
-) -> World:
-    world = World(scheduler, scheduler_settings)
-    world.push(0.0, target_list(4, 1, 0.0))
+) -> SchedulerSimulation:
+    simulation = SchedulerSimulation(scheduler, scheduler_settings)
+    simulation.schedule(0.0, target_list(4, 1, 0.0))
     now = 0.0
-    for number, (gap, cls, kind, volume, units, shard, key, disconnects, time_remaining) in enumerate(
-        arrivals
-    ):
-        now += gap / 1000
-        name = kind % len(scheduler_settings.plans)
-        world.push(
+    for number, arrival in enumerate(arrivals):
+        gap_ms, class_number, plan_number, volume, units, shard, key, disconnects, time_remaining = arrival
+        now += gap_ms / 1000
+        plan_index = plan_number % len(scheduler_settings.plans)
+        simulation.schedule(
             now,
             request(
                 number,
-                class_index=cls % len(scheduler_settings.classes),
-                plan_index=name,
-                volume=volume * 2 + name,
+                class_index=class_number % len(scheduler_settings.classes),
+                plan_index=plan_index,
+                volume=volume * 2 + plan_index,
                 units=float(units),
                 volume_initiator_count=2,
                 shard=shard,
@@ -114,16 +113,17 @@
             ),
         )
         if disconnects:
-            world.push(now + 0.5 * time_remaining, ClientDisconnected(number))
-    for at, target, state in list_changes:
-        world.push(
-            at / 1000,
-            TargetListUpdate(TargetListKind.DELTA, (entry(target, zone=target % 2, status=state),)),
+            simulation.schedule(now + 0.5 * time_remaining, ClientDisconnected(number))
+    for at_ms, target_id, status in list_changes:
+        simulation.schedule(
+            at_ms / 1000,
+            TargetListUpdate(TargetListKind.DELTA, (entry(target_id, zone=target_id % 2, status=status),)),
         )
-    world.run(results)
-    return world
+    simulation.run(results)
+    return simulation
 
 
+# Hypothesis derives its seed from the name and body of this test.
 @pytest.mark.parametrize("scheduler_settings", SETTINGS.values(), ids=SETTINGS.keys())
 @hypothesis_settings(max_examples=60, deadline=None, derandomize=True, database=None)
 @given(arrivals=st.lists(ARRIVAL, min_size=1, max_size=60), results=RESULTS, list_changes=LIST_CHANGES)
@@ -131,8 +131,8 @@
     play(Scheduler(scheduler_settings, 3, 0.0), scheduler_settings, arrivals, results, list_changes)
 
 
-def arrivals_of_one_kind(count: int, **changes: object) -> list[tuple]:
-    one = {
+def identical_arrivals(count: int, **changes: object) -> list[tuple]:
+    arrival = {
         "gap": 5,
         "cls": 0,
         "kind": 0,
@@ -143,11 +143,11 @@
         "disconnects": False,
         "time_remaining": 2.0,
     } | changes
-    return [tuple(one.values())] * count
+    return [tuple(arrival.values())] * count
 
 
-class Broken:
-    """A scheduler with one rule broken on purpose; it sends each request at once to its shard's target."""
+class FaultyScheduler:
+    """A scheduler with a deliberate fault; it sends each request immediately to the target of its shard."""
 
     def __init__(self, fault: str) -> None:
         self.fault = fault
@@ -155,39 +155,45 @@
     def handle(self, now: float, events: list[Event]) -> list[Action]:
         actions: list[Action] = []
         for event in events:
-            if isinstance(event, Request) and self.fault != "silent":
+            if isinstance(event, Request) and self.fault != "never responds":
                 actions.append(StartAttempt(event.request_id, event.shard, None))
             elif isinstance(event, AttemptFinished) and not event.request_done:
-                if self.fault == "refuses":
+                if self.fault == "rejects after errors":
                     actions.append(Reject(event.request_id, 0.0))
-                elif self.fault == "repeats":
+                elif self.fault == "repeats after errors":
                     actions.append(StartAttempt(event.request_id, event.target_id, None))
                 else:
                     actions.append(Fail(event.request_id))
-            elif isinstance(event, AttemptFinished) and self.fault == "twice":
+            elif isinstance(event, AttemptFinished) and self.fault == "responds twice":
                 actions.append(Fail(event.request_id))
         return actions
 
 
 @pytest.mark.parametrize(
-    ("fault", "arrivals", "result", "list_changes", "broken_rule"),
+    ("fault", "arrivals", "result", "list_changes", "violated_rule"),
     [
-        ("silent", arrivals_of_one_kind(1), AttemptStatus.OK, [], "1: not answered"),
-        ("twice", arrivals_of_one_kind(1), AttemptStatus.OK, [], "1: answered twice"),
-        ("refuses", arrivals_of_one_kind(1, cls=3), AttemptStatus.ERROR, [], "2: refused"),
-        ("repeats", arrivals_of_one_kind(1, cls=3), AttemptStatus.ERROR, [], "2: unsafe"),
-        ("repeats", arrivals_of_one_kind(1, cls=1), AttemptStatus.ERROR, [], "2: keyed"),
-        ("drains", arrivals_of_one_kind(900), AttemptStatus.REJECTED, [(1, 1, TargetStatus.DRAINING)], "3: "),
-        ("cold", arrivals_of_one_kind(20, shard=3), AttemptStatus.REJECTED, [], "4: "),
-        ("order", arrivals_of_one_kind(2, cls=4), AttemptStatus.OK, [], "5: out of order"),
-        ("repeats", arrivals_of_one_kind(2, time_remaining=3.0), AttemptStatus.ERROR, [], "6: "),
-        ("limit", arrivals_of_one_kind(40), AttemptStatus.OK, [], "7: "),
+        ("never responds", identical_arrivals(1), AttemptStatus.OK, [], "1: no final response"),
+        ("responds twice", identical_arrivals(1), AttemptStatus.OK, [], "1: second final response"),
+        ("rejects after errors", identical_arrivals(1, cls=3), AttemptStatus.ERROR, [], "2: rejected"),
+        ("repeats after errors", identical_arrivals(1, cls=3), AttemptStatus.ERROR, [], "2: unsafe"),
+        ("repeats after errors", identical_arrivals(1, cls=1), AttemptStatus.ERROR, [], "2: keyed"),
+        (
+            "ignores draining",
+            identical_arrivals(900),
+            AttemptStatus.REJECTED,
+            [(1, 1, TargetStatus.DRAINING)],
+            "3: ",
+        ),
+        ("ignores slow start", identical_arrivals(20, shard=3), AttemptStatus.REJECTED, [], "4: "),
+        ("ignores order", identical_arrivals(2, cls=4), AttemptStatus.OK, [], "5: out of order"),
+        ("repeats after errors", identical_arrivals(2, time_remaining=3.0), AttemptStatus.ERROR, [], "6: "),
+        ("ignores limits", identical_arrivals(40), AttemptStatus.OK, [], "7: "),
     ],
 )
-def test_the_checker_detects_a_broken_scheduler(fault, arrivals, result, list_changes, broken_rule):
+def test_the_checker_detects_a_faulty_scheduler(fault, arrivals, result, list_changes, violated_rule):
     scheduler_settings = SETTINGS["everything"]
-    if broken_rule == "3: ":
+    if violated_rule == "3: ":
         scheduler_settings = SETTINGS["one unsafe class"]
-    latency = 0.7 if broken_rule == "2: keyed" else 0.1
-    with pytest.raises(RuleBrokenError, match=broken_rule):
-        play(Broken(fault), scheduler_settings, arrivals, [(result, latency)], list_changes)
+    latency = 0.7 if violated_rule == "2: keyed" else 0.1
+    with pytest.raises(RuleViolationError, match=violated_rule):
+        play(FaultyScheduler(fault), scheduler_settings, arrivals, [(result, latency)], list_changes)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The seven rules, one by one, in small scenarios."""
+"""Tests each of the seven rules in small scenarios."""
 
 from __future__ import annotations
 
@@ -30,37 +30,39 @@
     AttemptStatus.ERROR,
     AttemptStatus.REJECTED,
 )
-FINAL_ANSWERS = (Reject, Fail)
+FINAL_RESPONSES = (Reject, Fail)
 
 
-def final_answers(actions: list[Action]) -> list[int]:
-    return [a.request_id for a in actions if isinstance(a, FINAL_ANSWERS)]
+def final_responses(actions: list[Action]) -> list[int]:
+    return [action.request_id for action in actions if isinstance(action, FINAL_RESPONSES)]
 
 
-# 1. Every request answered.
-def test_a_request_without_a_target_is_answered_once_before_its_deadline():
+# 1. Every request gets one final response.
+def test_a_request_without_a_target_gets_one_final_response_before_its_deadline():
     harness = SchedulerHarness()
-    assert final_answers(harness.feed(0.0, request(1, shard=5))) == []
-    answered = [i for step in range(1, 400) for i in final_answers(harness.poll(step * 0.01))]
-    assert answered == [1]
+    assert final_responses(harness.feed(0.0, request(1, shard=5))) == []
+    responses = [
+        request_id for step in range(1, 400) for request_id in final_responses(harness.poll(step * 0.01))
+    ]
+    assert responses == [1]
 
 
-def test_a_try_with_hardly_any_time_left_and_no_target_is_answered_at_once():
-    """Found by an incident: such a try waited for the next poll, past its deadline."""
+def test_a_request_about_to_expire_without_a_target_gets_an_immediate_response():
+    """Guards against an incident in which such a request waited for the next poll, past its deadline."""
     harness = SchedulerHarness()
     harness.feed(0.0, request(1, time_remaining=3.0))
-    assert final_answers(harness.feed(0.1, request(2, shard=5, time_remaining=0.001))) == [2]
+    assert final_responses(harness.feed(0.1, request(2, shard=5, time_remaining=0.001))) == [2]
 
 
-def test_a_timeout_at_the_deadline_is_answered_and_nothing_is_sent_after():
+def test_a_timeout_at_the_deadline_gets_a_final_response_and_nothing_is_sent_afterwards():
     harness = SchedulerHarness()
     harness.feed(0.0, request(1))
-    assert final_answers(harness.feed(3.0, outcome(1, status=TIMEOUT))) == [1]
+    assert final_responses(harness.feed(3.0, outcome(1, status=TIMEOUT))) == [1]
     assert harness.feed(3.1, outcome(1, status=TIMEOUT)) == []
     assert harness.poll(3.2) == []
 
 
-def test_a_disconnected_client_gets_no_answer():
+def test_a_disconnected_client_gets_no_response():
     harness = SchedulerHarness()
     harness.scheduler.targets[1].concurrency_limit = 1.0
     harness.feed(0.0, request(1), request(2))
@@ -72,7 +74,7 @@
     assert SchedulerHarness().feed(0.0, outcome(9), ClientDisconnected(9), FirstByte(9, 0, 1, 0.1)) == []
 
 
-def test_a_stream_that_has_begun_gets_no_further_answer():
+def test_a_streamed_response_that_has_begun_is_not_followed_by_another_response():
     harness = SchedulerHarness(classes=(request_class(streaming=True),))
     harness.feed(0.0, request(1))
     harness.feed(0.1, FirstByte(1, 0, 1, 0.1))
@@ -80,13 +82,13 @@
     assert harness.feed(9.0, outcome(1, status=RESET, request_done=True)) == []
 
 
-# 2. No duplicated effect.
+# 2. No duplicate execution.
 @pytest.mark.parametrize("status", list(AttemptStatus))
 def test_an_unsafe_request_is_retried_or_rejected_only_if_never_executed(status):
     harness = SchedulerHarness(classes=(request_class(idempotency=Idempotency.UNSAFE),))
     harness.feed(0.0, request(1))
     actions = harness.feed(0.1, outcome(1, status=status))
-    actions += [a for step in range(1, 100) for a in harness.poll(0.1 + step * 0.01)]
+    actions += [action for step in range(1, 100) for action in harness.poll(0.1 + step * 0.01)]
     if status is AttemptStatus.OK:
         assert actions == []
     elif status in target_load.NEVER_EXECUTED:
@@ -95,23 +97,23 @@
         assert actions == [Fail(1)]
 
 
-def test_a_keyed_request_possibly_executed_stays_in_its_shard_and_is_failed_not_rejected():
+def test_a_possibly_executed_keyed_request_stays_in_its_shard_and_is_failed_not_rejected():
     keyed_class = request_class(
         idempotency=Idempotency.IDEMPOTENCY_KEY,
         deduplication_scope=DeduplicationScope.SHARD,
         deduplication_window=0.5,
     )
     harness = SchedulerHarness(targets=(entry(1), entry(2)), classes=(keyed_class,))
-    (send,) = harness.feed(0.0, request(1, shard=None))
-    (retry,) = harness.feed(0.1, outcome(1, target_id=send.target_id, status=ERROR))
-    assert retry.target_id == send.target_id
-    # after the deduplication window
-    assert harness.feed(0.6, outcome(1, target_id=send.target_id, status=ERROR, attempt_number=1)) == [
-        Fail(1)
-    ]
+    (first_attempt,) = harness.feed(0.0, request(1, shard=None))
+    (retry,) = harness.feed(0.1, outcome(1, target_id=first_attempt.target_id, status=ERROR))
+    assert retry.target_id == first_attempt.target_id
+    # The deduplication window is over: no further retry.
+    assert harness.feed(
+        0.6, outcome(1, target_id=first_attempt.target_id, status=ERROR, attempt_number=1)
+    ) == [Fail(1)]
 
 
-def test_a_keyed_request_stays_possibly_executed_after_a_second_attempt_never_executed():
+def test_a_keyed_request_stays_possibly_executed_after_a_second_attempt_is_rejected():
     keyed_class = request_class(
         idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=DeduplicationScope.SHARD
     )
@@ -129,50 +131,50 @@
 
 
 # 3. Safe drain.
-@pytest.mark.parametrize("state", [TargetStatus.DRAINING, TargetStatus.REMOVED])
-def test_no_attempt_starts_at_a_draining_or_removed_target(state):
+@pytest.mark.parametrize("status", [TargetStatus.DRAINING, TargetStatus.REMOVED])
+def test_no_attempt_starts_at_a_draining_or_removed_target(status):
     harness = SchedulerHarness()
-    harness.feed(0.0, TargetListUpdate(TargetListKind.DELTA, (entry(1, status=state),)))
+    harness.feed(0.0, TargetListUpdate(TargetListKind.DELTA, (entry(1, status=status),)))
     assert harness.sends(0.0, request(1)) == []
 
 
-def test_a_target_missing_from_a_full_list_is_removed_and_its_queue_moves():
+def test_a_target_missing_from_a_full_list_is_removed_and_its_queued_requests_move():
     harness = SchedulerHarness()
     harness.scheduler.targets[1].concurrency_limit = 1.0
     harness.feed(0.0, request(1), request(2))
     update = TargetListUpdate(TargetListKind.FULL, (entry(3, shard=1),))
-    (send,) = harness.feed(0.1, update)
-    assert (send.request_id, send.target_id) == (2, 3)
+    (attempt,) = harness.feed(0.1, update)
+    assert (attempt.request_id, attempt.target_id) == (2, 3)
 
 
-def test_a_polled_list_is_watched_and_watched_again_after_a_failure():
+def test_the_watch_on_a_polled_list_is_reopened_after_a_failure():
     harness = SchedulerHarness(list_pushed=False)
     scheduler = harness.scheduler
     actions = scheduler.handle(1.0, [TargetListUpdate(TargetListKind.FAILED, ())])
-    (timer,) = [a for a in actions if isinstance(a, SetTimer)]
+    (timer,) = [action for action in actions if isinstance(action, SetTimer)]
     assert scheduler.handle(3.0, [TimerFired(timer.token)])[0] == WatchTargetList(True)
-    assert scheduler.targets  # the old list stands
+    assert scheduler.targets  # the previous list stays in use
 
 
 # 4. Slow start.
 def test_a_warming_target_gets_no_more_than_this_initiators_share_of_the_budget():
     harness = SchedulerHarness(targets=(entry(1, started_at=0.0),), initiator_count=4)
     harness.scheduler.targets[1].concurrency_limit = target_load.MAX_CONCURRENCY
-    sent = harness.sends(0.0, *[request(i, units=2.0) for i in range(40)])
+    sent = harness.sends(0.0, *[request(request_id, units=2.0) for request_id in range(40)])
     assert 0 < len(sent) * 2.0 <= 40.0 / 4
-    # rejected work counts, too
-    assert harness.sends(0.2, *[outcome(i, status=REJECTED) for i in sent]) == []
+    # Rejected requests still count against the share.
+    assert harness.sends(0.2, *[outcome(request_id, status=REJECTED) for request_id in sent]) == []
 
 
 # 5. Order by key.
-def ordered() -> SchedulerHarness:
+def in_order_harness() -> SchedulerHarness:
     return SchedulerHarness(
         classes=(request_class(in_order=True),), rules=rules(ordering_pause=0.4), max_attempts=1
     )
 
 
 def test_ordered_requests_of_a_key_run_one_at_a_time_in_order():
-    harness = ordered()
+    harness = in_order_harness()
     assert harness.sends(
         0.0, request(1, idempotency_key=8), request(2, idempotency_key=8), request(3, idempotency_key=9)
     ) == [1, 3]
@@ -180,15 +182,15 @@
 
 
 def test_a_key_is_paused_after_an_attempt_that_may_still_run():
-    harness = ordered()
+    harness = in_order_harness()
     harness.feed(0.0, request(1, idempotency_key=8), request(2, idempotency_key=8))
     assert harness.sends(0.1, outcome(1, status=TIMEOUT)) == []
     assert harness.poll(0.45) == []
-    assert [a.request_id for a in harness.poll(0.55)] == [2]
+    assert [action.request_id for action in harness.poll(0.55)] == [2]
 
 
 def test_a_key_waits_for_the_attempt_of_a_finished_request():
-    harness = ordered()
+    harness = in_order_harness()
     harness.feed(0.0, request(1, idempotency_key=8), request(2, idempotency_key=8))
     assert harness.feed(0.1, ClientDisconnected(1)) == []
     assert harness.poll(0.2) == []
@@ -202,43 +204,48 @@
     )
     harness.feed(0.0, request(1), request(2))
     assert harness.sends(0.1, outcome(1, status=ERROR)) == [1]
-    assert final_answers(harness.feed(0.1, outcome(2, status=ERROR))) == [2]
+    assert final_responses(harness.feed(0.1, outcome(2, status=ERROR))) == [2]
 
 
 # 7. Limits.
-LIMITED = plan(limit=6.0, burst=48.0, slack=5.0)
+LIMITED_PLAN = plan(limit=6.0, burst=48.0, slack=5.0)
 
 
-def units_sent(harness: SchedulerHarness, until: float, initiator_count: int) -> float:
-    """Units sent by `until` under overload by requests that are answered at once."""
-    units, number = 0.0, 0
-    for step in range(int(until * 20)):
+def units_sent(harness: SchedulerHarness, seconds: float, initiator_count: int) -> float:
+    """Return the units sent under overload if every attempt succeeds immediately."""
+    units = 0.0
+    request_count = 0
+    for step in range(int(seconds * 20)):
         now = step / 20
-        new = [request(number + i, volume_initiator_count=initiator_count) for i in range(8)]
-        number += 8
-        sent = harness.sends(now, *new)
+        new_requests = [
+            request(request_count + index, volume_initiator_count=initiator_count) for index in range(8)
+        ]
+        request_count += 8
+        sent = harness.sends(now, *new_requests)
         while sent:
             units += 2.0 * len(sent)
-            sent = harness.sends(now, *[outcome(i) for i in sent])
+            sent = harness.sends(now, *[outcome(request_id) for request_id in sent])
     return units
 
 
 @pytest.mark.parametrize("initiator_count", [1, 2, 3])
 def test_all_initiators_together_never_exceed_the_limit(initiator_count):
-    harness = SchedulerHarness(plans=(LIMITED,))
+    harness = SchedulerHarness(plans=(LIMITED_PLAN,))
     assert 0 < units_sent(harness, 10.0, initiator_count) <= 6.0 * 10.0 / initiator_count
 
 
 def test_a_restart_does_not_create_a_burst():
-    first, restarted = SchedulerHarness(plans=(LIMITED,)), SchedulerHarness(plans=(LIMITED,))
-    spent = units_sent(first, 4.0, 1) + units_sent(restarted, 4.0, 1)
-    assert spent <= 48.0 + 6.0 * 8.0
+    first = SchedulerHarness(plans=(LIMITED_PLAN,))
+    restarted = SchedulerHarness(plans=(LIMITED_PLAN,))
+    sent = units_sent(first, 4.0, 1) + units_sent(restarted, 4.0, 1)
+    assert sent <= 48.0 + 6.0 * 8.0
     assert restarted.sends(4.0, request(999, units=8.0)) == []
 
 
 def test_a_first_attempt_not_started_spends_no_tokens():
-    harness = SchedulerHarness(plans=(LIMITED,))
+    harness = SchedulerHarness(plans=(LIMITED_PLAN,))
     harness.feed(2.0, request(1, units=8.0))
-    before = harness.scheduler.volumes[1].limit.level
+    level_before = harness.scheduler.volumes[1].limit.level
     harness.feed(2.0, outcome(1, status=AttemptStatus.NOT_STARTED))
-    assert harness.scheduler.volumes[1].limit.level == before  # returned, and spent retry by the next attempt
+    # The tokens are returned and then spent by the retry.
+    assert harness.scheduler.volumes[1].limit.level == level_before
--- a/tests/test_slow_start_fleets.py
+++ b/tests/test_slow_start_fleets.py
@@ -1,4 +1,4 @@
-"""What whole fleets send to a warming target, counted there, with uneven shards and restarts among them."""
+"""Tests the load of whole fleets on a warming target, with uneven shards and restarting initiators."""
 
 from __future__ import annotations
 
@@ -15,51 +15,61 @@
 from tests.helpers import entry, outcome, request, request_class, rules, settings
 from tests.test_contention import WarmingFleet
 
-STARTED_AT, SLOW_START_SECONDS, INITIAL_FRACTION, MEAN_UNITS = 3.0, 17.0, 0.15, 2.0
-BUSY_SHARD = 1  # its warm target is replaced at STARTED_AT
+STARTED_AT = 3.0
+SLOW_START_SECONDS = 17.0
+INITIAL_FRACTION = 0.15
+MEAN_UNITS = 2.0
+BUSY_SHARD = 1  # a warming target replaces the target of this shard at STARTED_AT
 
 
 @dataclass(frozen=True)
 class Case:
-    """A fleet and its load: a target that has just started bears `units` in a window and has `power` times
-    the capacity that this takes; `busy_fraction` of the volumes also request the busy shard."""
+    """A fleet and its load.
+
+    A target that has just started may be sent `slow_start_units` in a window, and its capacity is
+    `capacity_factor` times what this requires.  `busy_fraction` of the volumes also request the busy shard.
+    """
 
     initiators: int
     shards: int
-    units: float
-    power: float
+    slow_start_units: float
+    capacity_factor: float
     busy_fraction: float
     restarts: str = "none"
 
 
 class Fleet(WarmingFleet):
-    """Schedulers, the volumes whose requests they get, and one warming target that serves in order."""
+    """Schedulers, the volumes whose requests they receive, and a warming target that serves in order."""
 
     def __init__(self, case: Case, seed: int) -> None:
-        self.case, self.draw = case, random.Random(seed)
+        self.case = case
+        self.rng = random.Random(seed)
         self.targets = tuple(
-            entry(n, started_at=STARTED_AT if n == BUSY_SHARD else None) for n in range(1, case.shards + 1)
+            entry(shard, started_at=STARTED_AT if shard == BUSY_SHARD else None)
+            for shard in range(1, case.shards + 1)
         )
         self.schedulers = [self.start_scheduler(0.0) for _ in range(case.initiators)]
-        self.free, self.number, self.ends, self.sent = STARTED_AT, 0, [], []
+        self.free = STARTED_AT
+        self.number = 0
+        self.ends, self.sent = [], []
         self.volumes = [
             (
-                self.draw.sample(range(1, case.shards + 1), self.draw.randint(1, 4)),
-                self.draw.sample(range(case.initiators), self.draw.randint(1, 3)),
-                self.draw.choice([1, 1, 2, 3, 8]),
+                self.rng.sample(range(1, case.shards + 1), self.rng.randint(1, 4)),
+                self.rng.sample(range(case.initiators), self.rng.randint(1, 3)),
+                self.rng.choice([1, 1, 2, 3, 8]),
             )
             for _ in range(6 * case.shards)
         ]
         for shards, _, _ in self.volumes:
-            if self.draw.random() < case.busy_fraction:
+            if self.rng.random() < case.busy_fraction:
                 shards[0] = BUSY_SHARD
-        self.restarts_due = self.restarts()
+        self.restarts_due = self.planned_restarts()
 
     def start_scheduler(self, now: float) -> Scheduler:
-        """A scheduler of a process that has just started with the present list."""
+        """Return the scheduler of a process that has just started with the current target list."""
         fleet_settings = settings(
             initiator_count=self.case.initiators,
-            slow_start_units=self.case.units,
+            slow_start_units=self.case.slow_start_units,
             mean_units=MEAN_UNITS,
             classes=(request_class(latency_objective=0.2, deadline=1.2),),
             rules=rules(
@@ -69,19 +79,19 @@
                 overload_factor=2.0,
             ),
         )
-        started = Scheduler(fleet_settings, self.draw.getrandbits(32), now)
-        started.handle(now, [TargetListUpdate(TargetListKind.CACHED, self.targets)])
-        return started
+        scheduler = Scheduler(fleet_settings, self.rng.getrandbits(32), now)
+        scheduler.handle(now, [TargetListUpdate(TargetListKind.CACHED, self.targets)])
+        return scheduler
 
-    def restarts(self) -> list[tuple[float, int]]:
-        """The time and index of each process that restarts."""
+    def planned_restarts(self) -> list[tuple[float, int]]:
+        """Return the time of each process restart and the index of its process."""
         indices = range(self.case.initiators)
-        if self.case.restarts == "together":  # seven in ten restart in the moment that the target starts
+        if self.case.restarts == "together":  # seven in ten processes, just after the start of the target
             return sorted(
-                (STARTED_AT + self.draw.uniform(0.0, 0.3), index)
-                for index in self.draw.sample(indices, self.case.initiators * 7 // 10)
+                (STARTED_AT + self.rng.uniform(0.0, 0.3), index)
+                for index in self.rng.sample(indices, self.case.initiators * 7 // 10)
             )
-        if self.case.restarts == "rolling":  # one after another, a tenth of them in each second
+        if self.case.restarts == "rolling":  # all processes in order, a tenth of them per second
             return [(STARTED_AT - 2.0 + index * 10.0 / self.case.initiators, index) for index in indices]
         return []
 
@@ -91,15 +101,20 @@
         )
 
     def capacity(self, now: float) -> float:
-        """Units per second."""
-        return self.case.power * self.case.units / (2.0 * INITIAL_FRACTION) * self.capacity_fraction(now)
+        """Return the capacity of the warming target in units per second."""
+        return (
+            self.case.capacity_factor
+            * self.case.slow_start_units
+            / (2.0 * INITIAL_FRACTION)
+            * self.capacity_fraction(now)
+        )
 
     def run(self, seconds: float = 15.0) -> float:
-        """The most requests of mean size in a window, over what the settings allow and chance explains."""
-        sums = list(itertools.accumulate(weight for _, _, weight in self.volumes))
+        """Return the most load sent in any window, relative to what the settings and chance allow."""
+        cumulative_weights = list(itertools.accumulate(weight for _, _, weight in self.volumes))
         now = 0.0
         while now < seconds:
-            now += self.draw.expovariate(6.0 * self.case.shards)
+            now += self.rng.expovariate(6.0 * self.case.shards)
             while self.restarts_due and self.restarts_due[0][0] <= now:
                 at, index = self.restarts_due.pop(0)
                 self.schedulers[index] = self.start_scheduler(at)
@@ -109,9 +124,9 @@
                     self.handle(
                         at, index, outcome(number, target_id=BUSY_SHARD, status=status, latency=latency)
                     )
-            volume = self.draw.choices(range(len(sums)), cum_weights=sums)[0]
+            volume = self.rng.choices(range(len(cumulative_weights)), cum_weights=cumulative_weights)[0]
             shards, volume_initiators, _ = self.volumes[volume]
-            shard, index = self.draw.choice(shards), self.draw.choice(volume_initiators)
+            shard, index = self.rng.choice(shards), self.rng.choice(volume_initiators)
             if shard == BUSY_SHARD and now >= STARTED_AT:
                 self.number += 1
                 self.handle(
@@ -130,28 +145,29 @@
         return self.worst_window()
 
     def worst_window(self) -> float:
-        worst, total, span = 0.0, 0.0, deque()
+        worst, total, window = 0.0, 0.0, deque()
         for at, units in self.sent:
-            span.append((at, units / MEAN_UNITS))
+            window.append((at, units / MEAN_UNITS))
             total += units / MEAN_UNITS
-            while span[0][0] <= at - 1.0:
-                total -= span.popleft()[1]
-            allowed = self.case.units * self.capacity_fraction(at) / INITIAL_FRACTION / MEAN_UNITS
+            while window[0][0] <= at - 1.0:
+                total -= window.popleft()[1]
+            allowed = self.case.slow_start_units * self.capacity_fraction(at) / INITIAL_FRACTION / MEAN_UNITS
             worst = max(worst, total / (allowed + 2 * allowed**0.5 + 2))
         return worst
 
 
-SIZES = {20: (30, (2.0, 8.0)), 30: (45, (2.0, 8.0)), 200: (200, (1.0, 3.0))}  # shards, and units borne
+# Number of shards and values of `slow_start_units`, by number of initiators.
+SIZES = {20: (30, (2.0, 8.0)), 30: (45, (2.0, 8.0)), 200: (200, (1.0, 3.0))}
 FLEETS = [
-    Case(initiators, shards, units, 1.0, 0.0, restarts)
-    for initiators, (shards, bears) in SIZES.items()
-    for units in bears
+    Case(initiators, shards, slow_start_units, 1.0, 0.0, restarts)
+    for initiators, (shards, unit_choices) in SIZES.items()
+    for slow_start_units in unit_choices
     for restarts in ("none", "together", "rolling")
 ]
 
 
-def worst_of(cases: list[Case], seeds: int) -> float:
-    """The worst over so many seeds, a tenth of them for two hundred schedulers, which take long."""
+def worst_result(cases: list[Case], seeds: int) -> float:
+    """Return the worst result over `seeds` seeds; 200 schedulers run a tenth of them, as they take long."""
     return max(
         Fleet(case, seed).run()
         for case in cases
@@ -159,14 +175,16 @@
     )
 
 
-@pytest.mark.parametrize("case", FLEETS, ids=lambda case: f"{case.initiators}-{case.units:g}-{case.restarts}")
+@pytest.mark.parametrize(
+    "case", FLEETS, ids=lambda case: f"{case.initiators}-{case.slow_start_units:g}-{case.restarts}"
+)
 def test_a_fleet_does_not_overload_a_warming_target(case):
-    """At a target as weak as the settings allow, in shards as busy as random volumes make them."""
-    assert worst_of([case], 30) <= 1.0
+    """The target is as weak as the settings allow, and random volumes determine how busy the shards are."""
+    assert worst_result([case], 30) <= 1.0
 
 
 def test_a_fleet_uses_the_budget_of_a_warming_target():
-    """So that the test above can't be passed by sending next to nothing: mean units in twelve seconds."""
+    """Guards against passing the test above by sending almost nothing: mean units in twelve seconds."""
     case = Case(30, 45, 8.0, 1.0, 0.1)
     sent = 0.0
     for seed in range(10):
@@ -177,12 +195,14 @@
 
 
 def test_a_fleet_does_not_overload_a_warming_target_of_a_shard_two_to_three_times_as_busy():
-    """Each process sees too little of the others: more request the shard than it estimates."""
-    busy = [replace(case, busy_fraction=0.1 if case.initiators < 200 else 0.02) for case in FLEETS]
-    assert worst_of(busy, 20) <= 1.0
+    """Each process underestimates how many other initiators request the shard."""
+    busy_cases = [replace(case, busy_fraction=0.1 if case.initiators < 200 else 0.02) for case in FLEETS]
+    assert worst_result(busy_cases, 20) <= 1.0
 
 
 def test_a_fleet_stays_within_the_budget_of_a_target_far_stronger_than_the_settings_state():
-    """What a target serves is allowed again: the fleet follows its capacity, not the settings."""
-    strong = [replace(case, power=100.0, busy_fraction=0.3) for case in FLEETS if case.initiators < 200]
-    assert worst_of(strong, 5) <= 1.0
+    """Units that the target served may be sent again: the fleet follows its capacity, not the settings."""
+    strong_cases = [
+        replace(case, capacity_factor=100.0, busy_fraction=0.3) for case in FLEETS if case.initiators < 200
+    ]
+    assert worst_result(strong_cases, 5) <= 1.0
