--- a/stalltiller/transport/__init__.py
+++ b/stalltiller/transport/__init__.py
@@ -1,1 +1,1 @@
-"""TCP connections, receive buffers and connection pools; nothing here knows what the bytes mean."""
+"""TCP connections, receive buffers and connection pools, independent of the protocols that use them."""
--- a/stalltiller/transport/buffers.py
+++ b/stalltiller/transport/buffers.py
@@ -1,18 +1,19 @@
-"""Receive buffers of one size that are reused, and a byte budget that several connections share.
+"""A pool of fixed-size receive buffers, and a memory budget shared by several connections.
 
-Both are owned by the event loop's thread and take no locks.
+Both are used from the event loop's thread only and take no locks.
 """
 
 from __future__ import annotations
 
-BUFFER_BYTES = 16 * 1024  # a connection sees one buffer at a time, so this is also the longest message head
-MAX_FREE_BUFFERS = 64  # 1 MiB in reserve; only connections with unread bytes need a buffer
+# A connection holds one buffer at a time, so the buffer size also limits the size of a message head.
+BUFFER_BYTES = 16 * 1024
+MAX_FREE_BUFFERS = 64  # retains at most 1 MiB; only connections with unread bytes hold a buffer
 
 
 class BufferPool:
-    """Lends buffers of `size` bytes and reuses those that come back.
+    """Provides buffers of `size` bytes and reuses released ones.
 
-    At most `max_free` returned buffers are retained; the others are left to the garbage collector.
+    At most `max_free` released buffers are retained; the others are left to the garbage collector.
     """
 
     def __init__(self, max_free: int = MAX_FREE_BUFFERS, size: int = BUFFER_BYTES) -> None:
@@ -21,26 +22,26 @@
         self._free: list[bytearray] = []
 
     def acquire(self) -> bytearray:
-        """Return a buffer, whose old contents are undefined."""
+        """Return a buffer with undefined contents."""
         return self._free.pop() if self._free else bytearray(self.size)
 
     def release(self, buffer: bytearray) -> None:
-        """Take back a buffer that `acquire` returned and nobody uses any more."""
+        """Return a buffer obtained from `acquire` to the pool; the caller must not use it afterwards."""
         if len(self._free) < self._max_free:
             self._free.append(buffer)
 
 
 class MemoryBudget:
-    """Counts the bytes that all who share it have reserved, against a limit of `max_bytes`."""
+    """Counts the bytes reserved by all its users against a limit of `max_bytes`."""
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
         self.reserved = 0
 
     def adjust(self, byte_delta: int) -> bool:
-        """Reserve bytes, or return them if negative; return whether the total is within the limit.
+        """Reserve `byte_delta` bytes (release if negative) and return whether the total is within the limit.
 
-        The bytes are counted even if the total exceeds the limit: the caller decides what to give up.
+        The bytes are counted even if the total exceeds the limit; the caller decides what to drop.
         """
         self.reserved += byte_delta
         return self.reserved <= self._max_bytes
--- a/stalltiller/transport/connection.py
+++ b/stalltiller/transport/connection.py
@@ -1,7 +1,7 @@
-"""A TCP connection that reads into a pooled buffer and holds it only while unread bytes wait in it.
+"""A TCP connection that reads into a pooled buffer, which it holds only while it contains unread bytes.
 
-A connection belongs to the event loop's thread.  It owns its buffer and its timers and gives them back when
-the connection is lost.
+A connection is used from the event loop's thread only.  It owns its buffer and its timers and releases them
+when the connection is lost.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 from stalltiller.transport.buffers import BufferPool
 
-# How long a connection whose sending side is shut down still reads if the peer does not close it: the peer's
-# time to read what was written last.
+# How long a gracefully closing connection waits for the peer to read the last written bytes and close.
 LINGER_TIMEOUT_SECONDS = 3.0
 PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER, on with a timeout of zero: close() sends a reset
+# SO_LINGER value: enabled with a timeout of zero, so that close() sends a reset.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class Connection(asyncio.BufferedProtocol):
-    """Base of all connections; subclasses process the received bytes.
+    """Base class of all connections; subclasses process the received bytes.
 
-    The names of its attributes must not hide methods of subclasses.  `tests/test_connection.py` checks that:
-    an attribute `_fill` once hid a method `_fill` of a subclass, and every response ended in a TypeError.
+    Attribute names must not hide methods of subclasses, which `tests/test_connection.py` checks: an attribute
+    `_fill` once hid the method `_fill` of a subclass, so that every response raised a TypeError.
     """
 
     def __init__(self, buffers: BufferPool) -> None:
@@ -34,48 +34,48 @@
         self._buffer: bytearray | None = None
         self._unread_start = 0
         self._unread_end = 0
-        self._paused = False  # reading from the kernel is paused
+        self._paused = False  # whether reading from the kernel is paused
         self._bytes_written = 0
-        self._read_check_timer: asyncio.TimerHandle | None = None  # checks that the peer still reads
-        self._linger_timer: asyncio.TimerHandle | None = None  # ends a graceful close that the peer ignores
-        self.flushed = True  # the kernel has accepted every byte written so far
-        self.half_closed = False  # sending is shut down; received bytes are dropped
+        self._read_check_timer: asyncio.TimerHandle | None = None  # runs `_check_peer_reads`
+        self._linger_timer: asyncio.TimerHandle | None = None  # runs `_on_linger_timeout`
+        self.flushed = True  # whether the kernel has accepted every byte written so far
+        self.half_closed = False  # whether sending is shut down; received bytes are then dropped
         self.transport: asyncio.Transport | None = None
 
-    # --- For subclasses ---------------------------------------------------------------------------
+    # --- Callbacks for subclasses -----------------------------------------------------------------
     def on_data(self, data: memoryview) -> int:
-        """Process received bytes and return how many are consumed.
+        """Process received bytes and return the number consumed.
 
-        The others are presented again together with the next bytes that arrive.
+        The unconsumed bytes are passed again when more bytes arrive.
         """
         raise NotImplementedError
 
     def on_connected(self) -> None:
-        """Handle the connection's establishment."""
+        """Handle the establishment of the connection."""
 
     def on_buffer_full(self) -> None:
-        """Handle a buffer full of bytes that `on_data` does not consume; by default reading pauses."""
+        """Handle a buffer that is full of unconsumed bytes; the default pauses reading."""
         self._pause()
 
     def on_disconnected(self, error: Exception | None) -> None:
-        """Handle the connection's end; `error` is None after an orderly close."""
+        """Handle the loss of the connection; `error` is None after an orderly close."""
 
-    # --- For owners -------------------------------------------------------------------------------
+    # --- Interface for owners ---------------------------------------------------------------------
     @property
     def is_closing(self) -> bool:
-        """Whether the connection is not established yet, closing or closed."""
+        """Whether the connection is not established yet, is closing or is closed."""
         return self.transport is None or self.transport.is_closing()
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether bytes were received that are not consumed."""
+        """Whether the buffer contains received bytes that are not consumed yet."""
         return self._unread_end > self._unread_start
 
     def is_clean(self) -> bool:
-        """Whether the connection is open and nothing unread waits, not in the kernel's buffer either.
+        """Whether the connection is open with no unread data, including in the kernel's buffer.
 
-        Guards against surplus bytes after a response, or an end of the stream, that the event loop has not
-        seen yet: they would pass for the next response.
+        Guards against surplus bytes after a response, or an end of stream, that the event loop has not
+        processed yet: they would be taken for the next response.
         """
         transport = self.transport
         if transport is None or transport.is_closing() or self.has_unread_data:
@@ -85,9 +85,9 @@
         return not poll.poll(0)
 
     def is_peer_closed(self) -> bool:
-        """Whether the peer has ended or reset the connection.
+        """Whether the peer has closed or reset the connection.
 
-        It is detected also while unread bytes precede the end, or before the event loop has seen it.
+        Polls the socket to detect this even behind unread bytes or before the event loop notices it.
         """
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -97,21 +97,21 @@
         return any(events & PEER_CLOSED_EVENTS for _, events in poll.poll(0))
 
     def write(self, data: bytes | memoryview) -> None:
-        """Send bytes; on a connection that is closing they are dropped and `flushed` becomes false."""
+        """Send bytes; if the connection is closing, drop them and set `flushed` to false."""
         transport = self.transport
         if transport is None or transport.is_closing() or self.half_closed:
             self.flushed = False
             return
         self._bytes_written += len(data)
         transport.write(data)
-        if transport.is_closing():  # the kernel accepted nothing: the peer had closed already
+        if transport.is_closing():  # the write failed because the peer had already closed
             self.flushed = False
 
     def abort_if_unread(self, timeout: float) -> None:
         """Abort if the kernel accepts none of the pending bytes within `timeout` seconds.
 
-        Guards against a peer that sends requests and does not read the responses.  One that reads slowly is
-        left alone: each accepted byte starts the time anew.
+        Guards against a peer that sends requests and does not read the responses.  A slow reader stays
+        connected: the timeout restarts if the kernel has accepted any bytes.
         """
         if self._read_check_timer is not None or self.flushed or self.transport is None:
             return
@@ -120,7 +120,7 @@
         )
 
     def _bytes_accepted(self, transport: asyncio.Transport) -> int:
-        """Return how many bytes the kernel has accepted since the connection's establishment."""
+        """Return the number of bytes that the kernel has accepted since the connection was established."""
         return self._bytes_written - transport.get_write_buffer_size()
 
     def _check_peer_reads(self, timeout: float, accepted_before: int) -> None:
@@ -133,22 +133,22 @@
             self.abort_if_unread(timeout)
 
     def close_gracefully(self) -> None:
-        """Close so that all written bytes arrive.
+        """Close so that all written bytes reach the peer.
 
         Sending is shut down, received bytes are dropped, and the connection closes when the peer closes it or
-        LINGER_TIMEOUT_SECONDS are over.
+        after LINGER_TIMEOUT_SECONDS.
 
-        Guards against closing while received bytes are unread or still arrive: this resets the connection,
-        and the peer loses what it has not read yet.
+        Closing while received bytes are unread or still arriving would reset the connection, and the peer
+        would lose data that it has not read yet.
         """
         transport = self.transport
         if transport is None or transport.is_closing() or self.half_closed:
             return
         self.half_closed = True
-        self._release()
+        self._release_buffer()
         try:
             transport.write_eof()  # takes effect once the written bytes are sent
-        except OSError:  # the peer had closed already
+        except OSError:  # the peer had already closed
             self.abort()
             return
         if self._paused:
@@ -165,7 +165,7 @@
     def _on_linger_timeout(self) -> None:
         if self.flushed:
             self.abort()
-        else:  # the peer reads slowly: `abort_if_unread` ends the connection if it reads nothing
+        else:  # the peer reads slowly; `abort_if_unread` aborts the connection if it stops reading
             self.abort_if_unread(LINGER_TIMEOUT_SECONDS)
             self._start_linger_timer()
 
@@ -175,11 +175,11 @@
             self.transport.close()
 
     def abort(self) -> None:
-        """Close now; bytes that are not sent are dropped.
+        """Close immediately; unsent bytes are dropped.
 
-        asyncio closes the socket one iteration of the event loop later, so it is shut down here.  Guards
-        against running a request twice: an abandoned attempt must have ended for its target before the next
-        one starts on another connection.
+        asyncio closes the socket one event loop iteration later, so the socket is shut down here.  Guards
+        against running a request twice: the target must see an abandoned attempt end before the next attempt
+        starts on another connection.
         """
         if self.transport is not None:
             with contextlib.suppress(OSError):  # the socket may be shut down already
@@ -187,7 +187,7 @@
             self.transport.abort()
 
     def reset(self) -> None:
-        """Close now with a TCP reset, so that the peer does not take what it received for the whole."""
+        """Close immediately with a TCP reset, so that the peer recognises a partial response."""
         if self.transport is not None:
             with contextlib.suppress(OSError):
                 self.transport.get_extra_info("socket").setsockopt(
@@ -196,7 +196,7 @@
             self.transport.abort()
 
     def resume_processing(self) -> None:
-        """Present unread bytes to `on_data` again and resume reading if the buffer has room."""
+        """Pass unread bytes to `on_data` again and resume reading if the buffer has room."""
         self._process_buffer()
         transport = self.transport
         if not self._paused or transport is None or transport.is_closing():
@@ -213,18 +213,20 @@
     # --- asyncio ----------------------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Implement `asyncio.BaseProtocol`."""
-        self.transport = cast(asyncio.Transport, transport)  # that of a socket reads and writes
-        self.transport.set_write_buffer_limits(high=0)  # so that `pause_writing` reports any byte left over
+        self.transport = cast(asyncio.Transport, transport)  # a socket transport is bidirectional
+        self.transport.set_write_buffer_limits(
+            high=0
+        )  # call `pause_writing` as soon as any byte stays buffered
         self.on_connected()
 
     def get_buffer(self, _sizehint: int) -> memoryview:
-        """Implement `asyncio.BufferedProtocol`: return the free part of the buffer."""
+        """Implement `asyncio.BufferedProtocol`: return the unused part of the buffer."""
         if self._buffer is None:
             self._buffer = self._buffers.acquire()
         return memoryview(self._buffer)[self._unread_end :]
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Implement `asyncio.BufferedProtocol`: process the bytes that were received."""
+        """Implement `asyncio.BufferedProtocol`: process received bytes."""
         self._unread_end += nbytes
         self._process_buffer()
 
@@ -235,24 +237,24 @@
     def resume_writing(self) -> None:
         """Implement `asyncio.BaseProtocol`: the kernel has accepted all written bytes."""
         self.flushed = True
-        self.resume_processing()  # for subclasses that consume nothing until their output is flushed
+        self.resume_processing()  # some subclasses consume no input until their output is flushed
 
     def eof_received(self) -> bool:
         """Implement `asyncio.BufferedProtocol`: close when the peer shuts down its sending side."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Implement `asyncio.BaseProtocol`: release timers and buffer, then notify the subclass."""
+        """Implement `asyncio.BaseProtocol`: cancel timers, release the buffer and notify the subclass."""
         for timer in (self._read_check_timer, self._linger_timer):
             if timer is not None:
                 timer.cancel()
-        self._release()
+        self._release_buffer()
         self.on_disconnected(error)
 
     def _process_buffer(self) -> None:
-        """Present unread bytes to `on_data` until it consumes none, then free or compact the buffer."""
+        """Pass unread bytes to `on_data` until it consumes none, then release or compact the buffer."""
         if self.half_closed:
-            self._release()
+            self._release_buffer()
             return
         while self._buffer is not None and self._unread_end > self._unread_start and not self.is_closing:
             consumed = self.on_data(memoryview(self._buffer)[self._unread_start : self._unread_end])
@@ -262,12 +264,12 @@
         if self._buffer is None:
             return
         if self._unread_start == self._unread_end or self.is_closing:
-            self._release()
+            self._release_buffer()
         elif self._unread_end == len(self._buffer):
             self._compact_full_buffer(self._buffer)
 
     def _compact_full_buffer(self, buffer: bytearray) -> None:
-        """Move unread bytes to the buffer's start; if they fill it, leave the decision to the subclass."""
+        """Move unread bytes to the start of the buffer; if they fill it, call `on_buffer_full`."""
         if self._unread_start == 0:
             self.on_buffer_full()
             return
@@ -283,7 +285,7 @@
             self._paused = True
             transport.pause_reading()
 
-    def _release(self) -> None:
+    def _release_buffer(self) -> None:
         if self._buffer is not None:
             self._buffers.release(self._buffer)
             self._buffer = None
--- a/stalltiller/transport/listener.py
+++ b/stalltiller/transport/listener.py
@@ -1,7 +1,7 @@
-"""The listening socket and the client connections accepted on it, limited in number.
+"""The listening socket and a limited number of client connections accepted on it.
 
-A listener belongs to the event loop's thread.  It owns the listening socket and the timer of its sweep; each
-connection owns itself and reports its life to the listener (`add`, `request_started`, ..., `remove`).
+A listener is used from the event loop's thread only.  It owns the listening socket and its sweep timer; it
+does not own the connections, which report their state changes (`add`, `request_started`, ..., `remove`).
 """
 
 from __future__ import annotations
@@ -13,59 +13,62 @@
 from collections.abc import Callable
 from typing import Protocol
 
-BACKLOG = 512  # connections that wait in the kernel until they are accepted: bursts are hundreds
-# Connections accepted in one iteration of the event loop, or the limit divided by ACCEPTS_LIMIT_DIVISOR if
-# that is fewer.  Each is up before any can be closed, so they come on top of the limit.
+BACKLOG = 512  # length of the kernel's accept queue; clients connect in bursts of hundreds
+# The listener accepts up to this number of connections per event loop iteration, or the connection limit
+# divided by ACCEPTS_LIMIT_DIVISOR if that is lower.  All of them are established before any can be closed, so
+# they may exceed the connection limit.
 MAX_ACCEPTS_PER_ITERATION = 16
 ACCEPTS_LIMIT_DIVISOR = 4
-# Connections over the limit that still get a rejection, or the limit divided by REJECTED_LIMIT_DIVISOR if
-# that is fewer: of few descriptors none would be left for others.  The rest are closed without a response.
+# Up to this number of connections over the limit receive a rejection, or the limit divided by
+# REJECTED_LIMIT_DIVISOR if that is lower, because with few descriptors none would be left for
+# other uses.  Further connections are closed without a response.
 MAX_REJECTED_CONNECTIONS = 16
 REJECTED_LIMIT_DIVISOR = 2
-SWEEP_INTERVAL_SECONDS = 0.25  # short against the timeouts below, so that these are kept closely
-# A client that connects for a request has begun to send it by then, as a rule; a silent one goes first later.
+SWEEP_INTERVAL_SECONDS = 0.25  # short compared with the timeouts that the sweep enforces
+# A client that connects to send a request has usually begun to send it within this time.  Connections silent
+# for longer are the first to be closed over the limit.
 FIRST_BYTE_TIMEOUT_SECONDS = 0.1
-# By then the first request head on a new connection must be complete; it leaves time to one sent slowly.
+# The first request head on a new connection must be complete within this time, which allows for slow clients.
 FIRST_REQUEST_TIMEOUT_SECONDS = 2.3
-# Clients hold only so many connections to an initiator: unused ones keep others from sending.
+# Clients open a limited number of connections to an initiator, so idle ones keep others from sending.
 IDLE_TIMEOUT_SECONDS = 2.0
-CROWDED_IDLE_TIMEOUT_SECONDS = 0.3  # the same while there are more connections than usual
+CROWDED_IDLE_TIMEOUT_SECONDS = 0.3  # idle timeout while there are more connections than usual
 
 
 class ManagedConnection(Protocol):
-    """A client's connection, as the listener sees it."""
+    """Interface of a client connection that the listener manages."""
 
     def close_if_idle(self) -> bool:
-        """Close if no request is in progress; return whether that was so."""
+        """Close if no request is in progress; return whether the connection was idle."""
 
     def on_request_timeout(self) -> None:
-        """Handle that no whole request came in time: reject it or close, unless its head has come."""
+        """Reject an overdue first request or close, unless the request head is complete."""
 
     def reject_requests(self) -> None:
-        """Answer whatever request comes with a rejection, then close."""
+        """Reject the next request, then close."""
 
     @property
     def is_closing(self) -> bool:
         """Whether the connection is closing or closed."""
 
     def abort(self) -> None:
-        """Close now; bytes that are not sent are dropped."""
+        """Close immediately; unsent bytes are dropped."""
 
     def abort_partial_responses(self) -> None:
-        """End so that the client recognises incomplete responses: the process stops."""
+        """Abort a partial response at process exit, so that the client recognises it as incomplete."""
 
 
 class Listener:
     """Accepts client connections and closes some of them when there are more than `max_connections`.
 
-    Over the limit, room is made in this order: connections that have sent nothing within
-    FIRST_BYTE_TIMEOUT_SECONDS; then idle ones; then those still sending their first request, the one silent
-    for longest first; then the new connection itself.  If more than MAX_REJECTED_CONNECTIONS are over the
-    limit, a connection that is closing gracefully goes before idle ones.
+    Over the limit, connections are closed in this order: those that have sent nothing within
+    FIRST_BYTE_TIMEOUT_SECONDS; idle ones; those still sending their first request, starting with the one
+    silent for longest; the new connection itself.  If more than MAX_REJECTED_CONNECTIONS are over the limit,
+    a connection that is closing gracefully is aborted before idle ones are closed.
 
-    Guards against clients that connect by hundreds and send nothing or never finish a request: they would
-    displace the idle connections of other clients, new connections whose first request is on its way, and
-    clients that send it slowly.
+    The order guards against clients that open hundreds of connections and send nothing or never finish a
+    request.  Otherwise they would displace other clients' idle connections, new connections whose first
+    request is in flight, and slow senders.
     """
 
     def __init__(
@@ -75,9 +78,9 @@
         usual_connections: int,
         first_request_timeout: float | None = None,
     ) -> None:
-        """Prepare to listen; above `usual_connections` idle ones are closed sooner.
+        """Prepare to listen; above `usual_connections` the shorter idle timeout applies.
 
-        `first_request_timeout` is in seconds; by default it is FIRST_REQUEST_TIMEOUT_SECONDS.
+        `first_request_timeout` is in seconds and defaults to FIRST_REQUEST_TIMEOUT_SECONDS.
         """
         self._connection_factory = connection_factory
         self._max_connections = max_connections
@@ -88,40 +91,46 @@
         self._first_request_timeout = first_request_timeout
         self._server: asyncio.Server | None = None
         self._listening: socket.socket | None = None
-        # Each with the time (monotonic clock) by which it is ordered.
-        self._awaiting_first_request: dict[ManagedConnection, float] = {}  # by establishment
-        self._sending_first_request: dict[ManagedConnection, float] = {}  # of these, by last receipt
-        self._established: dict[ManagedConnection, float] = {}  # with a request so far, by last use
-        self._lingering: dict[ManagedConnection, float] = {}  # closing gracefully, by shutdown
-        self._sweep: asyncio.TimerHandle | None = None
-        self.keep_idle = False  # during a graceful stop clients have no connections but those they hold
+        # Each dict maps connections to a time on the monotonic clock and is ordered by that time.
+        self._awaiting_first_request: dict[ManagedConnection, float] = {}  # time of establishment
+        # The connections awaiting their first request that have sent part of it: time of the last receipt.
+        self._sending_first_request: dict[ManagedConnection, float] = {}
+        self._established: dict[ManagedConnection, float] = {}  # have sent a request: time of the last use
+        self._lingering: dict[ManagedConnection, float] = {}  # closing gracefully: time of the shutdown
+        self._sweep_timer: asyncio.TimerHandle | None = None
+        self.keep_idle = False  # set during a graceful shutdown, when clients depend on open connections
         self.shed_count = 0
 
     @property
     def address(self) -> tuple[str, int]:
-        """The host and port that the socket listens on; `open` must have returned."""
+        """The host and port of the listening socket; requires that `open` has returned."""
         if self._server is None:
             raise RuntimeError("the listener is not open")
         return self._server.sockets[0].getsockname()[:2]
 
     def __len__(self) -> int:
-        """Return the number of connections, closing ones included."""
+        """Return the number of connections, including closing ones."""
         return len(self._awaiting_first_request) + len(self._established) + len(self._lingering)
 
-    async def open(self, host: str, port: int, inherited: int | None = None) -> None:
-        """Listen on the address, or on the listening socket inherited as that descriptor.
+    async def open(self, host: str, port: int, inherited_descriptor: int | None = None) -> None:
+        """Listen on the address, or on an inherited listening socket.
 
-        Raises OSError if the address cannot be bound or the descriptor is no listening socket.
+        Raises OSError if the address cannot be bound or the descriptor is not a listening socket.
 
-        An inherited socket guards against binding an address that the starting process still holds, which
-        fails.  Connections that wait on it outlive this process: whoever holds it next serves them.
+        An inherited socket avoids binding an address that the parent process still holds, which fails.
+        Connections in its accept queue outlive this process; the next process that holds the socket serves
+        them.
 
-        asyncio accepts up to `backlog` connections in one iteration of the event loop, before any can be
-        closed.  With the kernel's backlog there, a burst of clients would take every descriptor, and asyncio
-        then accepts none for a second.
+        asyncio accepts up to `backlog` connections in one event loop iteration, before any can be closed.
+        With BACKLOG there, a burst of clients would take every descriptor, after which asyncio accepts no
+        connection for one second.
         """
         loop = asyncio.get_running_loop()
-        listening = self._create_socket(host, port) if inherited is None else self._adopt_socket(inherited)
+        listening = (
+            self._create_socket(host, port)
+            if inherited_descriptor is None
+            else self._adopt_socket(inherited_descriptor)
+        )
         listening.setblocking(False)
         self._listening = listening
         accepts = max(1, min(MAX_ACCEPTS_PER_ITERATION, self._max_connections // ACCEPTS_LIMIT_DIVISOR))
@@ -140,12 +149,12 @@
     def _adopt_socket(descriptor: int) -> socket.socket:
         listening = socket.socket(fileno=descriptor)
         if not listening.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise OSError(f"descriptor {descriptor} is no listening socket")
+            raise OSError(f"descriptor {descriptor} is not a listening socket")
         listening.set_inheritable(False)
         return listening
 
     def add(self, connection: ManagedConnection) -> None:
-        """Register a new connection; over the limit, close another one or reject the new one."""
+        """Register a new connection; over the limit, close another connection or reject the new one."""
         self._awaiting_first_request[connection] = time.monotonic()
         excess = len(self) - self._max_connections
         if excess <= 0:
@@ -166,7 +175,7 @@
             connection.reject_requests()
 
     def _abort_silent_connection(self) -> bool:
-        """Abort the oldest connection that has sent nothing in time; return whether there was one."""
+        """Abort the oldest connection silent past its first-byte timeout; return whether there was one."""
         now = time.monotonic()
         for connection, since in self._awaiting_first_request.items():
             if now - since < FIRST_BYTE_TIMEOUT_SECONDS:
@@ -177,7 +186,7 @@
         return False
 
     def _abort_slowest_first_request(self, newest: ManagedConnection) -> bool:
-        """Abort the connection silent for longest in its first request; return whether there was one."""
+        """Abort the first-request connection that is silent for longest; return whether there was one."""
         for connection in (*self._sending_first_request, *self._awaiting_first_request):
             if connection is not newest and not connection.is_closing:
                 connection.abort()
@@ -185,25 +194,25 @@
         return False
 
     def request_started(self, connection: ManagedConnection) -> None:
-        """Note that a part of a request was received."""
+        """Record that part of a request was received."""
         if connection in self._awaiting_first_request:
             self._sending_first_request.pop(connection, None)
             self._sending_first_request[connection] = time.monotonic()
 
     def request_finished(self, connection: ManagedConnection) -> None:
-        """Note that a whole request was received or answered: the connection was used just now."""
+        """Record that a complete request was received or its response sent, as the last use."""
         self._awaiting_first_request.pop(connection, None)
         self._sending_first_request.pop(connection, None)
         self._established.pop(connection, None)
         self._established[connection] = time.monotonic()
 
     def closing_gracefully(self, connection: ManagedConnection) -> None:
-        """Note that a connection was shut down: it accepts no more requests and closes soon."""
+        """Record that a connection was shut down: it accepts no more requests and closes soon."""
         self.remove(connection)
         self._lingering[connection] = time.monotonic()
 
     def remove(self, connection: ManagedConnection) -> None:
-        """Forget a connection that is lost."""
+        """Stop tracking a connection."""
         self._awaiting_first_request.pop(connection, None)
         self._sending_first_request.pop(connection, None)
         self._established.pop(connection, None)
@@ -215,18 +224,18 @@
             connection.close_if_idle()
 
     def abort_partial_responses(self) -> None:
-        """End every connection so that clients recognise incomplete responses."""
+        """Abort the partial responses on all connections, so that clients recognise them as incomplete."""
         for connection in (*self._awaiting_first_request, *self._established, *self._lingering):
             connection.abort_partial_responses()
 
     def _schedule_sweep(self) -> None:
-        self._sweep = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self._close_expired)
+        self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self._close_expired)
 
     def _close_expired(self) -> None:
-        """Close connections past their timeouts, and lingering ones if there are too many.
+        """Close connections past their timeouts, and lingering ones over the connection limit.
 
-        Guards against clients that send nothing, never finish a request, or keep a connection unused.
-        Clients hold only so many connections to an initiator: unused ones keep others from sending.
+        Guards against clients that send nothing, never finish a request or keep idle connections, which count
+        against the limited number of connections that clients open to an initiator.
         """
         now = time.monotonic()
         self._expire_first_requests(now)
@@ -245,7 +254,7 @@
         excess = len(self) - self._max_connections
         for connection, since in list(self._lingering.items())[: max(0, excess)]:
             if now - since >= SWEEP_INTERVAL_SECONDS:
-                connection.abort()  # it had the time to read its last response, and others need its place
+                connection.abort()  # the client had time to read its last response
 
     def _expire_idle(self, now: float) -> None:
         remaining = len(self._established)
@@ -257,17 +266,17 @@
             remaining -= connection.close_if_idle()
 
     async def stop(self, take_in: bool) -> None:
-        """Accept no more; open connections stay.  With `take_in`, first accept what waits in the kernel.
+        """Stop accepting; open connections stay.  With `take_in`, first empty the kernel's accept queue.
 
-        Guards against closing the listening socket while an accepted connection is not established yet or
-        while connections wait: both are reset, and the requests sent on them are lost.
+        Closing the listening socket resets accepted connections that are not established yet and connections
+        in the accept queue, and the requests sent on them are lost.
         """
         loop = asyncio.get_running_loop()
         listening = self._listening
         if listening is not None and listening.fileno() >= 0:
             loop.remove_reader(listening)
-            await asyncio.sleep(0)  # connections already accepted are established
-            with contextlib.suppress(OSError):  # none waits, or no descriptor is left
+            await asyncio.sleep(0)  # let asyncio establish connections that it has already accepted
+            with contextlib.suppress(OSError):  # the accept queue is empty or no descriptor is left
                 while take_in:
                     accepted, _ = listening.accept()
                     accepted.setblocking(False)
@@ -275,8 +284,8 @@
         self.close()
 
     def close(self) -> None:
-        """Accept no more; open connections stay."""
-        if self._sweep is not None:
-            self._sweep.cancel()
+        """Stop accepting; open connections stay."""
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         if self._server is not None:
             self._server.close()
--- a/stalltiller/transport/pool.py
+++ b/stalltiller/transport/pool.py
@@ -1,7 +1,7 @@
-"""Connections to targets: each carries one exchange at a time, waits idle and is reused.
+"""A pool of connections to targets, each of which carries one exchange at a time and is reused.
 
-A pool belongs to the event loop's thread.  It owns the idle channels and the tasks that connect; a channel in
-use belongs to its exchange.
+A pool is used from the event loop's thread only.  It owns the idle channels and the connecting tasks; a
+channel in use is owned by its exchange.
 """
 
 from __future__ import annotations
@@ -10,17 +10,21 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, NamedTuple, Protocol
 
-FRESH_IDLE_SECONDS = 0.1  # a channel idle for no longer is as good as a new one: nothing times out so soon
-LOSS_RATE_GAIN = 0.05  # weight of one use in the loss rates: about the last twenty uses count
-EXCESS_LOSS_FRACTION = 0.1  # uses lost, above twice the loss rate of fresh channels, that blame the idle time
-FRESH_ONLY_SECONDS = 20.0  # for which only fresh channels are reused then; afterwards it is tried again
+# A channel idle for at most this time is fresh, i.e. as good as a new one: no idle timeout is that short.
+MAX_FRESH_IDLE_SECONDS = 0.1
+LOSS_RATE_GAIN = 0.05  # weight of one use in the loss rates, which cover about the last twenty uses
+# Losses are attributed to idle time if the loss rate of channels that are not fresh exceeds twice that of
+# fresh ones by more than this.
+MAX_EXCESS_LOSS_RATE = 0.1
+FRESH_ONLY_SECONDS = 20.0  # how long only fresh channels are then reused, before others are tried again
 
 
 class Exchange(Protocol):
-    """One request to a target and its response; the pool notes in `channel` what carries it.
+    """One request to a target and its response.
 
-    `latest_start` is the event loop's time from which it must not start any more, None for no limit.
-    `channel_idle_time` is for how many seconds its channel was idle before, None if the channel is new.
+    The pool sets `channel` to the channel in use or to the task that opens it.  `latest_start` is the event
+    loop time from which the exchange must not start, or None without a limit.  `channel_idle_time` is how
+    many seconds its channel was idle before, or None if the channel is new.
     """
 
     target_id: Any
@@ -32,30 +36,30 @@
 
 
 class Channel(Protocol):
-    """An established connection, ready for one exchange at a time."""
+    """An established connection that carries one exchange at a time."""
 
     @property
     def is_closing(self) -> bool:
         """Whether the connection is closing or closed."""
 
     def is_clean(self) -> bool:
-        """Whether it is open and nothing unrequested was received."""
+        """Whether the connection is open and no unexpected data was received."""
 
     def start_exchange(self, exchange: Any) -> None:
-        """Send the exchange's request; the channel reports the end to the exchange's owner."""
+        """Send the exchange's request; the channel reports the result to the exchange's owner."""
 
     def is_fully_sent(self) -> bool:
         """Whether the target may have received the whole request."""
 
     def abandon(self) -> bool:
-        """Close at once; return whether the target may have executed the request in progress."""
+        """Close immediately; return whether the target may have executed the request in flight."""
 
     def close(self) -> None:
         """Close the idle connection."""
 
 
 class Address(NamedTuple):
-    """Where channels lead: the same target at another address needs other channels."""
+    """The remote end of a channel; channels of a target are not reused for another address of it."""
 
     target_id: Any
     host: str
@@ -63,7 +67,7 @@
 
 
 class IdleChannel(NamedTuple):
-    """A channel and the event loop's time since which it is idle."""
+    """A channel and the event loop time since which it has been idle."""
 
     since: float
     channel: Channel
@@ -72,12 +76,12 @@
 class ChannelPool:
     """Reuses idle channels per target address and opens new ones.
 
-    `connect` opens a channel; `on_unreachable` is called with each exchange that could not start.  There are
-    at most `max_channels` together: at the limit the channel idle for longest is closed to make room; if none
-    is idle, the exchange does not start.
+    `connect` opens a channel; `on_unreachable` is called with each exchange that could not start.  At the
+    limit of `max_channels` for all targets together, the channel idle for longest is closed to make room; if
+    none is idle, the exchange does not start.
 
-    `avoided_idle_range` is a range of idle times in seconds: a channel idle for a time within it is not
-    reused if another can be had.
+    `avoided_idle_range` is a range of idle times in seconds: a channel whose idle time is within it is reused
+    only if no other channel can be used or opened.
     """
 
     def __init__(
@@ -90,7 +94,7 @@
         max_channels: int,
         avoided_idle_range: tuple[float, float] = (0.0, 0.0),
     ) -> None:
-        """Create an empty pool; `idle_timeout`, in seconds, is when targets close idle connections."""
+        """Create an empty pool; targets close connections idle for `idle_timeout` seconds."""
         self._loop = loop
         self._connect = connect
         self._on_unreachable = on_unreachable
@@ -98,27 +102,27 @@
         self._idle_timeout = idle_timeout
         self._max_channels = max_channels
         self._avoided_idle_range = avoided_idle_range
-        self._channels: set[Channel] = set()  # established ones; closing ones leave at the next count
+        self._channels: set[Channel] = set()  # established channels; closing ones are removed later
         self._connecting_count = 0
-        self._idle: dict[Address, list[IdleChannel]] = {}  # per address in order of their last use
-        self._loss_rates = {True: 0.0, False: 0.0}  # fraction of uses lost, of fresh channels and of others
+        self._idle: dict[Address, list[IdleChannel]] = {}  # by address, in order of last use
+        self._loss_rates = {True: 0.0, False: 0.0}  # fraction of uses lost, by whether the channel was fresh
         self._fresh_only_until = 0.0
-        self._sweep: asyncio.TimerHandle | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
         self.opened_count = 0
 
     def start(self, exchange: Exchange) -> None:
         """Start an exchange on an idle channel, or on a new one.
 
-        The channel used last goes first, of those idle for longer than the avoided range.
+        The candidates (see `_count_candidates`) are tried from the most recently used one on.
         """
         idle = self._idle.get(_address_of(exchange), [])
         now = self._loop.time()
-        earliest_use = now - FRESH_IDLE_SECONDS if now < self._fresh_only_until else 0.0
+        min_idle_since = now - MAX_FRESH_IDLE_SECONDS if now < self._fresh_only_until else 0.0
         candidate_count = self._count_candidates(idle, now)
         while candidate_count:
             candidate_count -= 1
             since, channel = idle.pop(candidate_count)
-            if channel.is_clean() and since >= earliest_use:
+            if channel.is_clean() and since >= min_idle_since:
                 exchange.channel = channel
                 exchange.channel_idle_time = now - since
                 channel.start_exchange(exchange)
@@ -127,18 +131,18 @@
         exchange.channel = self._loop.create_task(self._open(exchange))
 
     def _count_candidates(self, idle: list[IdleChannel], now: float) -> int:
-        """Return how many channels, from the one idle for longest on, may be reused."""
-        shortest, longest = self._avoided_idle_range
-        rested_count = sum(since <= now - longest for since, _ in idle)
+        """Return how many channels at the start of the list, which were idle for longest, may be reused."""
+        range_start, range_end = self._avoided_idle_range
+        past_range_count = sum(since <= now - range_end for since, _ in idle)
         if not idle:
-            return rested_count
-        is_before_range = now - idle[-1].since < shortest
-        if is_before_range or (not rested_count and not self._may_open()):
+            return past_range_count
+        is_before_range = now - idle[-1].since < range_start
+        if is_before_range or (not past_range_count and not self._may_open()):
             return len(idle)
-        return rested_count
+        return past_range_count
 
     def _may_open(self) -> bool:
-        """Whether one more channel fits without closing another."""
+        """Whether a channel may be opened without closing another."""
         if self._channel_count() >= self._max_channels:
             self._forget_closing_channels()
         return self._channel_count() < self._max_channels
@@ -155,7 +159,7 @@
         return not isinstance(channel, asyncio.Task | None) and channel.is_fully_sent()
 
     def abandon(self, exchange: Exchange) -> bool:
-        """Give an exchange up; return whether the target may have executed it."""
+        """Abandon an exchange; return whether the target may have executed it."""
         channel = exchange.channel
         exchange.channel = None
         if isinstance(channel, asyncio.Task):
@@ -164,22 +168,22 @@
         return channel is not None and channel.abandon()
 
     def record_use(self, exchange: Exchange, lost: bool) -> None:
-        """Record how the use of a channel ended: `lost` if its connection broke.
+        """Record the result of using a channel; `lost` means that its connection broke.
 
-        Guards against targets, and devices on the path, that drop idle connections sooner than configured:
-        each use of such a connection is an attempt that may have executed.  They show in losses that grow
-        with the idle time.
+        Guards against targets and network devices that drop idle connections sooner than configured: each
+        use of such a connection is an attempt that may have been executed.  They are detected by a loss rate
+        that grows with the idle time.
         """
         if exchange.channel_idle_time is None:
             return
-        is_fresh = exchange.channel_idle_time <= FRESH_IDLE_SECONDS
+        is_fresh = exchange.channel_idle_time <= MAX_FRESH_IDLE_SECONDS
         self._loss_rates[is_fresh] += LOSS_RATE_GAIN * (lost - self._loss_rates[is_fresh])
-        acceptable = EXCESS_LOSS_FRACTION + 2 * self._loss_rates[True]
-        if lost and not is_fresh and self._loss_rates[False] > acceptable:
+        max_loss_rate = MAX_EXCESS_LOSS_RATE + 2 * self._loss_rates[True]
+        if lost and not is_fresh and self._loss_rates[False] > max_loss_rate:
             self._fresh_only_until = self._loop.time() + FRESH_ONLY_SECONDS
 
     def release(self, exchange: Exchange, channel: Channel) -> None:
-        """Take back the channel of a finished exchange for reuse."""
+        """Return the channel of a finished exchange to the pool."""
         exchange.channel = None
         self._add_idle(_address_of(exchange), channel)
 
@@ -190,19 +194,19 @@
                 channel.close()
 
     def close(self) -> None:
-        """Close all idle channels and stop the sweep."""
-        if self._sweep is not None:
-            self._sweep.cancel()
-            self._sweep = None
+        """Close all idle channels and cancel the sweep."""
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
+            self._sweep_timer = None
         for target_id in {address.target_id for address in self._idle}:
             self.close_idle(target_id)
 
     async def _open(self, exchange: Exchange) -> None:
-        """Open a channel for an exchange and start it there."""
+        """Open a channel for an exchange and start the exchange on it."""
         self._connecting_count += 1
         try:
             if not self._ensure_capacity():
-                raise ConnectionError("the limit of channels is reached and none is idle")
+                raise ConnectionError("channel limit reached and no channel is idle")
             async with asyncio.timeout(self._connect_timeout):
                 channel = await self._connect(exchange.host, exchange.port)
         except (OSError, EOFError, ValueError):  # TimeoutError is an OSError
@@ -214,7 +218,7 @@
         self.opened_count += 1
         self._channels.add(channel)
         if exchange.latest_start is not None and self._loop.time() >= exchange.latest_start:
-            # The target began to drain during the connect: nothing may start there any more.
+            # The target began to drain during the connect, so no exchange may start on it any more.
             self.release(exchange, channel)
             self._on_unreachable(exchange)
             return
@@ -222,7 +226,7 @@
         channel.start_exchange(exchange)
 
     def _ensure_capacity(self) -> bool:
-        """Close an idle channel if there are too many; return whether one more may be established."""
+        """Close an idle channel if the limit is exceeded; return whether a channel may be opened."""
         if self._channel_count() <= self._max_channels:
             return True
         self._forget_closing_channels()
@@ -237,18 +241,19 @@
 
     def _add_idle(self, address: Address, channel: Channel) -> None:
         self._idle.setdefault(address, []).append(IdleChannel(self._loop.time(), channel))
-        if self._sweep is None:
+        if self._sweep_timer is None:
             self._schedule_sweep()
 
     def _schedule_sweep(self) -> None:
-        self._sweep = self._loop.call_later(self._idle_timeout / 4, self._close_expired)
+        self._sweep_timer = self._loop.call_later(self._idle_timeout / 4, self._close_expired)
 
     def _close_expired(self) -> None:
-        """Close channels before their targets do, so that no request meets a connection just closed.
+        """Close channels before their targets do, so that no request is sent on a connection being closed.
 
-        They go at half the idle timeout: with a quarter until the next sweep that is well before its end.
+        Channels expire at half the idle timeout.  Sweeps run every quarter of it, so each channel is closed
+        well before the timeout ends.
         """
-        self._sweep = None
+        self._sweep_timer = None
         expired_since = self._loop.time() - self._idle_timeout / 2
         for address, idle in list(self._idle.items()):
             remaining = _close_older(idle, expired_since)
@@ -266,13 +271,13 @@
 
 
 def _close_older(idle: list[IdleChannel], expired_since: float) -> list[IdleChannel]:
-    """Close channels idle since that time or longer; return the open ones that remain."""
+    """Close the channels idle since `expired_since` or earlier; return the remaining open ones."""
     remaining = []
-    for entry in idle:
-        if entry.channel.is_closing:
+    for idle_channel in idle:
+        if idle_channel.channel.is_closing:
             continue
-        if entry.since <= expired_since:
-            entry.channel.close()
+        if idle_channel.since <= expired_since:
+            idle_channel.channel.close()
         else:
-            remaining.append(entry)
+            remaining.append(idle_channel)
     return remaining
--- a/stalltiller/transport/watch.py
+++ b/stalltiller/transport/watch.py
@@ -1,4 +1,4 @@
-"""Long polling of the discovery service: one connection, and the next poll at once after each response.
+"""Long polling of the discovery service on one connection, with the next poll right after each response.
 
 A watch owns its connection and runs in its owner's task; cancelling the task closes the connection.
 """
@@ -14,22 +14,22 @@
 from stalltiller.transport.buffers import BufferPool
 from stalltiller.transport.connection import Connection
 
-CONNECT_TIMEOUT_SECONDS = 1.0  # an address that does not answer must not use up the time of a whole poll
-# After which a change counts as known to every initiator once discovery has it, whatever became of the polls.
+CONNECT_TIMEOUT_SECONDS = 1.0  # an unresponsive address must not use up the timeout of a whole poll
+# Once discovery has a change, every initiator is assumed to know it after this time, even if polls failed.
 NOTIFICATION_DEADLINE_SECONDS = 6.0
 
-# Where the agent on the same machine answers, polls are cheap: failed ones are repeated soon.
-AGENT_POLL_WAIT_SECONDS = 2.0  # how long a poll may wait for a change: a silent watch is detected soon after
-AGENT_RESPONSE_TIMEOUT_SECONDS = 0.35  # beyond the poll's wait
+# Polls of the agent on the same machine are cheap, so failed ones are retried soon.
+AGENT_POLL_WAIT_SECONDS = 2.0  # how long a poll may wait for a change; a lost response is detected soon after
+AGENT_RESPONSE_TIMEOUT_SECONDS = 0.35  # added to the poll wait
 AGENT_INITIAL_BACKOFF_SECONDS = 0.05
 AGENT_MAX_BACKOFF_SECONDS = 0.1
 
-# Where discovery itself is polled, as fractions of the time until a change counts as known.
-REMOTE_POLL_WAIT_FRACTION = 0.5  # the rest is for two polls that get no response
-REMOTE_RESPONSE_TIMEOUT_FRACTION = 0.15  # beyond the poll's wait; polls queue at a busy discovery
+# Polls of discovery itself use fractions of the time until a change is assumed to be known.
+REMOTE_POLL_WAIT_FRACTION = 0.5  # leaves time for two polls that get no response
+REMOTE_RESPONSE_TIMEOUT_FRACTION = 0.15  # added to the poll wait; polls queue at a busy discovery
 REMOTE_INITIAL_BACKOFF_FRACTION = 1 / 12
 REMOTE_MAX_BACKOFF_FRACTION = 1 / 3
-MAX_BACKOFF_DOUBLINGS = 30  # past every maximum, and the power stays a small number
+MAX_BACKOFF_DOUBLINGS = 30  # enough to reach every maximum backoff; keeps the power of two small
 
 DEFAULT_JITTER_FRACTION = 0.5
 
@@ -38,15 +38,15 @@
 class BackoffPollPolicy:
     """A poll policy with exponential backoff and jitter; times are in seconds.
 
-    A change counts as known NOTIFICATION_DEADLINE_SECONDS after discovery had it, even if a watch got no
-    response or its polls were rejected.  Guards against learning of a drain after that: a poll that waited
-    and got no response, a backoff and the next poll must fit into it, with room for a second failure.
+    A change is assumed to be known NOTIFICATION_DEADLINE_SECONDS after discovery had it, even if a watch got
+    no response or its polls were rejected.  To learn of a drain by then, a poll that waited and got no
+    response, a backoff and the next poll must fit into that time, with room for a second failure.
 
-    Where the agent on the same machine answers, polls cost nothing and a failed one is soon repeated: a
-    change counts from when the agent learns it, also after an outage of discovery.  Where discovery itself
-    is polled, the whole fleet polls it: forty watches that polled every 2 s and came again within 1.5 s kept
-    it overloaded for a whole day.  So a poll waits as long as the deadline allows, and a rejected one is
-    repeated after a random backoff from nothing up to a bound that doubles (full jitter).
+    Polls of the agent on the same machine are cheap, and a failed one is retried soon, because the time
+    starts when the agent learns of the change, also after a discovery outage.  Discovery itself is polled by
+    the whole fleet: forty watches that polled every 2 s and retried within 1.5 s kept it overloaded for a
+    whole day.  Therefore a poll waits as long as the deadline allows, and a rejected one is retried after a
+    random backoff between zero and a bound that doubles (full jitter).
 
     `jitter` is the fraction of a backoff that is random.
     """
@@ -59,7 +59,7 @@
 
     @classmethod
     def for_remote_discovery(cls, age_limit: float) -> BackoffPollPolicy:
-        """Return the policy for polling discovery itself, with lists at most `age_limit` seconds old."""
+        """Return the policy for polling discovery itself; lists are at most `age_limit` seconds old."""
         deadline = min(age_limit, NOTIFICATION_DEADLINE_SECONDS)
         return cls(
             poll_wait=REMOTE_POLL_WAIT_FRACTION * deadline,
@@ -74,11 +74,11 @@
         return self.response_timeout + (self.poll_wait if waits else 0.0)
 
     def initial_delay(self) -> float:
-        """Return 0: without other initiators to consider, the first poll is made at once."""
+        """Return 0: the first poll need not be coordinated with other initiators."""
         return 0.0
 
     def backoff(self, failures: int, jitter_fraction: float) -> float:
-        """Return the backoff after so many failures in a row (1 or more); the fraction lies in [0, 1]."""
+        """Return the backoff after `failures` (at least 1) in a row; `jitter_fraction` is in [0, 1]."""
         doublings = min(failures - 1, MAX_BACKOFF_DOUBLINGS)
         bound = min(self.max_backoff, self.initial_backoff * 2**doublings)
         return bound * (1 - self.jitter + self.jitter * jitter_fraction)
@@ -91,40 +91,41 @@
         """Return the timeout of a poll and its response; `waits`: the poll may wait for a change."""
 
     def initial_delay(self) -> float:
-        """Return when to ask again whether the first poll may be made; 0: it may be made now."""
+        """Return the delay before calling this again, or 0 if the first poll may be made now."""
 
     def backoff(self, failures: int, jitter_fraction: float) -> float:
-        """Return the backoff after so many failures in a row (1 or more); the fraction lies in [0, 1]."""
+        """Return the backoff after `failures` (at least 1) in a row; `jitter_fraction` is in [0, 1]."""
 
 
 class Codec(Protocol):
-    """Encodes polls and decodes responses; `feed` and `finish` raise ValueError on malformed responses."""
+    """Encodes polls and decodes responses; `feed` and `finish` raise ValueError on invalid responses."""
 
     def call(self, waits: bool) -> bytes:
-        """Return the bytes of the next poll; `waits`: it may wait for a change."""
+        """Return the encoded next poll; `waits`: it may wait for a change."""
 
     def feed(self, data: memoryview) -> int:
-        """Decode bytes of a response and return how many are consumed."""
+        """Decode bytes of a response and return the number consumed."""
 
     def finish(self) -> bool | None:
-        """Apply a response that is complete and prepare for the next one.
+        """Apply a complete response and prepare for the next one.
 
         Returns whether the connection stays open, or None if the response is incomplete.
         """
 
 
 class _PollConnection(Connection):
-    """One connection to discovery."""
+    """A connection to discovery with at most one poll in flight."""
 
     def __init__(self, buffers: BufferPool, codec: Codec) -> None:
         super().__init__(buffers)
         self._codec = codec
-        self.response: asyncio.Future[bool] | None = None  # of the poll in progress: if the connection stays
+        # The result of the poll in flight: whether the connection stays open.
+        self.response: asyncio.Future[bool] | None = None
 
     def on_data(self, data: memoryview) -> int:
-        """Decode a response; bytes without a poll in progress end the connection."""
+        """Decode a response; abort if no poll is in flight."""
         if self.response is None or self.response.done():
-            self.abort()  # no poll is in progress: nothing may come
+            self.abort()
             return len(data)
         try:
             consumed = self._codec.feed(data)
@@ -138,17 +139,17 @@
         return consumed
 
     def on_buffer_full(self) -> None:
-        """End the connection: a response head is too long."""
+        """Abort: the response head is too long."""
         self.abort()
 
     def on_disconnected(self, _error: Exception | None) -> None:
-        """Fail the poll in progress."""
+        """Fail the poll in flight."""
         if self.response is not None and not self.response.done():
             self.response.set_exception(ConnectionResetError("discovery closed the connection"))
 
 
 class Watch:
-    """Polls discovery until it is cancelled; `on_error` gets each failure, and a poll follows the backoff."""
+    """Polls discovery until cancelled; passes each failure to `on_error` and retries after a backoff."""
 
     def __init__(
         self,
@@ -169,26 +170,26 @@
         """Poll until the task is cancelled; no response is applied after that."""
         while delay := self._poll_policy.initial_delay():
             await asyncio.sleep(delay)
-        rejected_in_a_row = 0
-        timed_out = False  # whether the last poll got no response in time
+        consecutive_errors = 0  # timeouts are not counted
+        timed_out = False  # whether the last poll timed out
         try:
             while True:
                 try:
                     await self._poll(waits=not timed_out)
-                    rejected_in_a_row = 0
+                    consecutive_errors = 0
                     timed_out = False
                 except (OSError, ValueError) as error:  # TimeoutError is an OSError
                     self._abort_connection()
                     self._on_error(error)
-                    timed_out = isinstance(error, TimeoutError)  # this does not indicate an overload
-                    rejected_in_a_row = 0 if timed_out else rejected_in_a_row + 1
-                    backoff = self._poll_policy.backoff(1 + rejected_in_a_row, random.random())
+                    timed_out = isinstance(error, TimeoutError)  # a timeout does not indicate an overload
+                    consecutive_errors = 0 if timed_out else consecutive_errors + 1
+                    backoff = self._poll_policy.backoff(1 + consecutive_errors, random.random())
                     await asyncio.sleep(backoff)
         finally:
             self._abort_connection()
 
     async def _poll(self, waits: bool) -> None:
-        """Make one poll, on a new connection if there is none; OSError or ValueError tell that it failed."""
+        """Make one poll, on a new connection if none is open; raise OSError or ValueError if it fails."""
         connection = self._connection
         if connection is None or connection.is_closing:
             timeout = min(CONNECT_TIMEOUT_SECONDS, self._poll_policy.timeout(False))
--- a/tests/test_connection.py
+++ b/tests/test_connection.py
@@ -1,4 +1,4 @@
-"""The connection's buffer, without sockets."""
+"""Buffering, flow control and closing of transport connections."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from stalltiller.transport.listener import Listener
 
 
-class Transport:
+class FakeTransport:
     closed = paused = False
     written = b""
 
@@ -37,12 +37,12 @@
 
 
 class LineConnection(Connection):
-    """Consumes whole lines."""
+    """A connection that consumes complete lines."""
 
     def __init__(self, buffers):
         super().__init__(buffers)
         self.lines = []
-        self.connection_made(Transport())
+        self.connection_made(FakeTransport())
 
     def on_data(self, data):
         end = bytes(data).find(b"\n") + 1
@@ -62,70 +62,70 @@
     assert first.lines == [b"ab\n"]
     first.receive(b"d\n")
     assert first.lines == [b"ab\n", b"cd\n"]
-    (free,) = buffers._free
+    (free_buffer,) = buffers._free
     second.receive(b"x")
-    assert second._buffer is free and buffers._free == []
+    assert second._buffer is free_buffer and buffers._free == []
     second.connection_lost(None)
-    assert buffers._free == [free]
+    assert buffers._free == [free_buffer]
 
 
 def test_a_full_buffer_is_compacted_or_pauses_reading_until_it_has_room():
-    lines = LineConnection(BufferPool(size=8))
-    lines.receive(b"ab\ncdefg")
-    assert not lines.transport.paused
-    lines.receive(b"hij")
-    assert lines.transport.paused
-    lines._unread_start = lines._unread_end  # as if consumed
-    lines.resume_processing()
-    assert not lines.transport.paused
+    connection = LineConnection(BufferPool(size=8))
+    connection.receive(b"ab\ncdefg")
+    assert not connection.transport.paused
+    connection.receive(b"hij")
+    assert connection.transport.paused
+    connection._unread_start = connection._unread_end  # as if consumed
+    connection.resume_processing()
+    assert not connection.transport.paused
 
 
 @pytest.mark.parametrize("cls", [ClientConnection, TargetConnection])
 def test_no_attribute_of_a_connection_hides_a_method_of_a_subclass(cls):
-    """Found by the first day: an index named like a method made every answer end in a TypeError."""
+    """An attribute with the name of a subclass method made every response raise a TypeError."""
     fields = vars(Connection(BufferPool()))
     assert [name for name in fields if callable(getattr(cls, name, None))] == []
 
 
-def test_an_abandoned_attempt_has_ended_for_its_target_before_another_can_start():
-    """Guards against running a request twice: asyncio's abort alone leaves the socket open."""
+def test_abandoning_an_attempt_shuts_its_connection_down_immediately():
+    """Guards against running a request twice: asyncio's abort alone leaves the socket open for the target."""
 
-    async def scene():
+    async def scenario():
         local, remote = socket.socketpair()
         local.setblocking(False)
         remote.settimeout(1.0)
-        _, lines = await asyncio.get_running_loop().create_connection(
+        _, connection = await asyncio.get_running_loop().create_connection(
             lambda: TargetConnection(SimpleNamespace(buffers=BufferPool())), sock=local
         )
-        lines.abandon()
-        assert remote.recv(1) == b""  # at once: the loop has not run since
+        connection.abandon()
+        assert remote.recv(1) == b""  # the event loop has not run since `abandon`
         remote.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def refuse_fields(head, body):
-    raise FieldError("no")
+def reject_fields(head, body):
+    raise FieldError("invalid field")
 
 
 def test_no_further_requests_are_accepted_from_a_client_that_does_not_read_its_responses():
-    """Guards against a pipeline of requests whose answers pile up in memory."""
-    front = SimpleNamespace(  # answers every request at once as bad, which needs no engine
+    """Guards against pipelined requests whose unread responses accumulate in memory."""
+    server = SimpleNamespace(  # rejects every request as malformed, which needs no engine
         buffers=BufferPool(),
         loop=None,
         stopping=False,
         engine=SimpleNamespace(counts=Counter()),
-        request_fields=SimpleNamespace(parse=refuse_fields),
+        request_fields=SimpleNamespace(parse=reject_fields),
         unread_response_budget=MemoryBudget(99),
         request_body_budget=MemoryBudget(99),
     )
-    connection = ClientConnection(front, Listener(None, 9, 9))
-    connection.connection_made(Transport())
-    raw = b"GET /a/1 HTTP/1.1\r\nHost: h\r\n\r\n"
-    connection.pause_writing()  # the kernel takes no more
+    connection = ClientConnection(server, Listener(None, 9, 9))
+    connection.connection_made(FakeTransport())
+    request = b"GET /a/1 HTTP/1.1\r\nHost: h\r\n\r\n"
+    connection.pause_writing()  # the kernel's send buffer is full
     for _ in range(2):
-        connection.get_buffer(-1)[: len(raw)] = raw
-        connection.buffer_updated(len(raw))
+        connection.get_buffer(-1)[: len(request)] = request
+        connection.buffer_updated(len(request))
     assert connection.transport.written == b""
     connection.resume_writing()
     assert connection.transport.written.count(b"400 Bad Request") == 2
@@ -133,13 +133,13 @@
 
 @pytest.mark.parametrize(("reads", "stays_open"), [(False, False), (True, True)])
 def test_a_peer_that_reads_slowly_stays_connected_and_one_that_does_not_read_is_aborted(reads, stays_open):
-    async def scene():
+    async def scenario():
         loop = asyncio.get_running_loop()
-        with socket.create_server(("127.0.0.1", 0)) as server:
+        with socket.create_server(("127.0.0.1", 0)) as listening_socket:
             _, local = await loop.create_connection(
-                lambda: LineConnection(BufferPool()), *server.getsockname()
+                lambda: LineConnection(BufferPool()), *listening_socket.getsockname()
             )
-            remote, _ = server.accept()
+            remote, _ = listening_socket.accept()
         with remote:
             remote.setblocking(False)
             local.write(bytes(40 << 20))
@@ -152,4 +152,4 @@
         local.abort()
         await asyncio.sleep(0)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients that open as many connections as they can, while discovery is down."""
+"""Descriptor limits under many idle client connections while discovery is down."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 IDLE_ADMIN_CLIENTS = 40
 
 
-async def reconnect_idle(address: tuple[str, int], pause: list[float]) -> None:
-    """A client that connects, sends nothing, and reconnects a pause after it is rejected."""
+async def reconnect_idle(address: tuple[str, int], reconnect_delay: list[float]) -> None:
+    """Connect, send nothing, and reconnect `reconnect_delay[0]` seconds after each disconnect."""
     while True:
         with contextlib.suppress(OSError):
             reader, writer = await asyncio.open_connection(*address)
@@ -30,24 +30,24 @@
                 await reader.read()
             finally:
                 writer.close()
-        await asyncio.sleep(pause[0])
+        await asyncio.sleep(reconnect_delay[0])
 
 
 class LoggedEvents:
-    """The events that a program logs, read in a thread until its standard output ends."""
+    """The events that a program logs, read in a thread until the end of its standard output."""
 
     def __init__(self, program: subprocess.Popen) -> None:
         self._program = program
         self._events: asyncio.Queue[dict] = asyncio.Queue()
         self._loop = asyncio.get_running_loop()
-        self.ended = self._loop.run_in_executor(None, self._read)
+        self.reader_done = self._loop.run_in_executor(None, self._read)
 
     def _read(self) -> None:
         for line in self._program.stdout:
             self._loop.call_soon_threadsafe(self._events.put_nowait, json.loads(line))
 
-    async def next(self, name: str) -> dict:
-        """The next event of that name; an accept that finds no descriptor fails the test."""
+    async def wait_for(self, name: str) -> dict:
+        """Return the next event with this name; fail on `loop_error`, e.g. an accept without descriptors."""
         while True:
             event = await self._events.get()
             assert event["event"] != "loop_error", event
@@ -56,15 +56,15 @@
 
 
 def unused_address() -> tuple[str, int]:
-    with socket.socket() as unused:
-        unused.bind(("127.0.0.1", 0))
-        return unused.getsockname()
+    with socket.socket() as bound_socket:
+        bound_socket.bind(("127.0.0.1", 0))
+        return bound_socket.getsockname()
 
 
 def start_with_descriptors(
     path: Path, discovery: Discovery, admin: tuple[str, int], max_descriptors: int
 ) -> subprocess.Popen:
-    """Start an initiator that is configured for, and has, a number of descriptors."""
+    """Start an initiator with `max_descriptors` as its configured and its actual descriptor limit."""
     config = {
         **EXAMPLE,
         "listen": "127.0.0.1:0",
@@ -102,33 +102,33 @@
     writer.close()
 
 
-@pytest.mark.parametrize("sockets", [96, 160])
-def test_discovery_targets_and_admin_calls_keep_descriptors_beside_many_idle_clients(sockets, tmp_path):
-    """Discovery is down as the clients connect; once it is up the list is learned, and a request served."""
+@pytest.mark.parametrize("max_descriptors", [96, 160])
+def test_idle_clients_leave_descriptors_for_discovery_targets_and_admin_requests(max_descriptors, tmp_path):
+    """Idle clients connect while discovery is down; once it is up, its list and a request must succeed."""
 
-    async def scene():
+    async def scenario():
         discovery, target = Discovery(), HttpTarget("s-0", 0)
         await discovery.open()
-        discovery.close()  # its port stays known, and connections are refused for now
+        discovery.close()  # keeps its port; connections are refused until it is opened again
         await target.open()
         discovery.set(target)
         admin = unused_address()
-        program = start_with_descriptors(tmp_path / "config.json", discovery, admin, sockets)
+        program = start_with_descriptors(tmp_path / "config.json", discovery, admin, max_descriptors)
         events = LoggedEvents(program)
-        host, _, port = (await events.next("started"))["listen"].partition(":")
+        host, _, port = (await events.wait_for("started"))["listen"].partition(":")
         address = (host, int(port))
-        pause = [0.0]  # at first they reconnect at once
+        reconnect_delay = [0.0]  # the clients reconnect immediately at first
         idle_clients = [
-            asyncio.create_task(reconnect_idle(listener, pause))
-            for listener in [address] * IDLE_CLIENTS + [admin] * IDLE_ADMIN_CLIENTS
+            asyncio.create_task(reconnect_idle(listener_address, reconnect_delay))
+            for listener_address in [address] * IDLE_CLIENTS + [admin] * IDLE_ADMIN_CLIENTS
         ]
         try:
-            await events.next("discovery_failed")
-            while (await events.next("counters"))["shed"] < IDLE_CLIENTS:
+            await events.wait_for("discovery_failed")
+            while (await events.wait_for("counters"))["shed"] < IDLE_CLIENTS:
                 pass
-            pause[0] = 0.5
+            reconnect_delay[0] = 0.5
             await discovery.open()
-            assert (await events.next("list"))["targets"] == {"s-0": "ready"}
+            assert (await events.wait_for("list"))["targets"] == {"s-0": "ready"}
             await assert_ready(admin)
             await assert_served(address, target)
         finally:
@@ -136,10 +136,10 @@
                 task.cancel()
             await asyncio.gather(*idle_clients, return_exceptions=True)
             program.send_signal(signal.SIGTERM)
-            await events.ended
+            await events.reader_done
             discovery.close()
             target.close()
-        _, err = program.communicate(timeout=20)
-        assert (program.returncode, err) == (0, "")
+        _, stderr_text = program.communicate(timeout=20)
+        assert (program.returncode, stderr_text) == (0, "")
 
-    asyncio.run(asyncio.wait_for(scene(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch of discovery: its poll policy, where it starts, and forty watches of one overloaded discovery."""
+"""The discovery watch: its poll policy, its initial version, and forty watches of a busy discovery."""
 
 from __future__ import annotations
 
@@ -15,81 +15,90 @@
 from tests.simulated_clock import run_on_simulated_clock
 from tests.stand_ins import Standin, read_message
 
-LINES, KNOWN = 60, 41
+TARGET_COUNT = 60
+KNOWN_VERSION = 41
 
 
 @pytest.mark.parametrize(
-    ("poll_policy", "failures", "min_backoff", "most"),
+    ("poll_policy", "failures", "min_backoff", "max_backoff"),
     [
         (BackoffPollPolicy(), 1, 0.025, 0.05),
-        (BackoffPollPolicy(), 99, 0.05, 0.1),  # an agent on the same machine: soon again
+        (BackoffPollPolicy(), 99, 0.05, 0.1),  # an agent on the same machine is polled again soon
         (BackoffPollPolicy.for_remote_discovery(10.0), 1, 0.0, 0.5),
         (BackoffPollPolicy.for_remote_discovery(10.0), 2, 0.0, 1.0),
         (BackoffPollPolicy.for_remote_discovery(10.0), 4000, 0.0, 2.0),
         (BackoffPollPolicy.for_remote_discovery(3.0), 1, 0.0, 0.25),
-        (BackoffPollPolicy.for_remote_discovery(3.0), 4000, 0.0, 1.0),  # settings that ask for more
+        (BackoffPollPolicy.for_remote_discovery(3.0), 4000, 0.0, 1.0),  # settings with a shorter age limit
     ],
 )
-def test_the_backoff_after_failed_polls_stays_within_its_bounds(poll_policy, failures, min_backoff, most):
+def test_the_backoff_after_failed_polls_stays_within_its_bounds(
+    poll_policy, failures, min_backoff, max_backoff
+):
     assert [
         poll_policy.backoff(failures, jitter_fraction) for jitter_fraction in (0.0, 1.0)
-    ] == pytest.approx([min_backoff, most])
+    ] == pytest.approx([min_backoff, max_backoff])
 
 
 class ScriptedDiscovery(Standin):
-    """Discovery that has a change from the first call on, and does with each call what the script says next:
-    silent, refuse (503), break (abort the connection) or, from the script's end on, serve."""
+    """Discovery that has a change from the first poll on and handles each poll by the script's next action.
+
+    An action is silent (no response), reject (503) or abort (the connection); later polls are served.
+    """
 
     def __init__(self, script: list[str]) -> None:
         super().__init__()
-        self.script, self.had_at, self.calls = script, 0.0, []
+        self.script = script
+        self.changed_at = 0.0
+        self.poll_paths = []
 
     async def serve(self, reader, writer) -> None:
         while True:
-            self.calls.append((await read_message(reader)).head.target)
-            self.had_at = self.had_at or asyncio.get_running_loop().time()
-            act = self.script.pop(0) if self.script else "serve"
-            if act == "silent":
+            self.poll_paths.append((await read_message(reader)).head.target)
+            self.changed_at = self.changed_at or asyncio.get_running_loop().time()
+            action = self.script.pop(0) if self.script else "serve"
+            if action == "silent":
                 await asyncio.get_running_loop().create_future()
-            elif act == "break":
+            elif action == "abort":
                 writer.transport.abort()
                 return
-            body = json.dumps({"index": KNOWN + 1, "snapshot": False, "endpoints": []}).encode()
-            writer.write(http.encode_response(*((503,) if act == "refuse" else (200, body))))
+            body = json.dumps({"index": KNOWN_VERSION + 1, "snapshot": False, "endpoints": []}).encode()
+            writer.write(http.encode_response(*((503,) if action == "reject" else (200, body))))
 
 
 def notification_delay(
     poll_policy: BackoffPollPolicy, script: list[str], outage: float = 0.0
 ) -> tuple[float, list[str]]:
-    """Seconds from when discovery had a change and could be reached until the watch had it, and the calls.
-    On the jumping clock, so that no case waits."""
+    """Return how many seconds after an available change the watch received it, and the paths of its polls.
+
+    A change is available once discovery has it and is reachable.  Runs on the simulated clock.
+    """
 
-    async def scene():
-        discovery, told = ScriptedDiscovery(script), asyncio.get_running_loop().create_future()
+    async def scenario():
+        discovery, notified = ScriptedDiscovery(script), asyncio.get_running_loop().create_future()
         await discovery.open()
-        listening = discovery.server.sockets[0].getsockname()
+        address = discovery.server.sockets[0].getsockname()
         if outage:
             discovery.close()
 
-        def took(listing):
-            if not told.done():
-                told.set_result(asyncio.get_running_loop().time())
+        def on_list(target_list):
+            if not notified.done():
+                notified.set_result(asyncio.get_running_loop().time())
 
-        # The watch stands already: its call waits for news.
-        codec = WatchCodec("d", took, poll_policy.poll_wait, KNOWN, first_waits=True)
-        watch = asyncio.create_task(Watch(listening, BufferPool(), codec, poll_policy, lambda _: None).run())
+        # The first poll waits for a change, like that of an established watch.
+        codec = WatchCodec("d", on_list, poll_policy.poll_wait, KNOWN_VERSION, first_waits=True)
+        watch = asyncio.create_task(Watch(address, BufferPool(), codec, poll_policy, lambda _: None).run())
         if outage:
             await asyncio.sleep(outage)
             await discovery.open()
-            discovery.had_at = asyncio.get_running_loop().time()
+            discovery.changed_at = asyncio.get_running_loop().time()
         async with asyncio.timeout(60):
-            at = await told
+            notified_at = await notified
         watch.cancel()
         await asyncio.gather(watch, return_exceptions=True)
         discovery.close()
-        return at - discovery.had_at, discovery.calls
+        return notified_at - discovery.changed_at, discovery.poll_paths
 
-    return run_on_simulated_clock(scene())
+    return run_on_simulated_clock(scenario())
 
 
 POLL_POLICIES = [
@@ -101,133 +110,150 @@
     [],
     ["silent"],
     ["silent", "silent"],
-    ["silent", "refuse"],
-    ["silent", "break"],
-    ["refuse", "silent"],
-    ["break", "break", "break"],
-    ["refuse", "refuse", "refuse"],
+    ["silent", "reject"],
+    ["silent", "abort"],
+    ["reject", "silent"],
+    ["abort", "abort", "abort"],
+    ["reject", "reject", "reject"],
 ]
 
 
-@pytest.mark.parametrize("poll_policy", POLL_POLICIES, ids=["pushed", "asked", "seldom asked"])
+@pytest.mark.parametrize("poll_policy", POLL_POLICIES, ids=["agent", "remote-10s", "remote-60s"])
 @pytest.mark.parametrize("script", FAILING_SCRIPTS, ids="+".join)
 @pytest.mark.parametrize("jitter_fraction", [0.0, 0.999])
-def test_a_change_is_known_before_the_notification_deadline_whatever_became_of_the_polls(
+def test_a_change_is_known_before_the_notification_deadline_despite_failed_polls(
     monkeypatch, poll_policy, script, jitter_fraction
 ):
-    """Where discovery itself is polled, a call without response and the backoff after it took up to 8 s;
-    with an agent 6 s."""
+    """A poll without response and its backoff took up to 8 s with discovery itself, 6 s with an agent."""
     monkeypatch.setattr("random.random", lambda: jitter_fraction)
-    after, calls = notification_delay(poll_policy, list(script))
-    assert after < NOTIFICATION_DEADLINE_SECONDS
-    follow_silence = [
-        after for before, after in zip(["serve", *script], calls, strict=False) if before == "silent"
+    delay, poll_paths = notification_delay(poll_policy, list(script))
+    assert delay < NOTIFICATION_DEADLINE_SECONDS
+    paths_after_timeout = [
+        path
+        for previous_action, path in zip(["serve", *script], poll_paths, strict=False)
+        if previous_action == "silent"
     ]
-    assert all(call.endswith("wait_ms=0") for call in follow_silence)  # it shows soon whether that is over
+    # A poll after a timeout does not wait for a change, so it detects soon whether discovery responds again.
+    assert all(path.endswith("wait_ms=0") for path in paths_after_timeout)
 
 
 @pytest.mark.parametrize(
-    ("poll_policy", "most"),
+    ("poll_policy", "max_delay"),
     [
         (BackoffPollPolicy(), 0.5),
         (BackoffPollPolicy.for_remote_discovery(10.0), NOTIFICATION_DEADLINE_SECONDS),
     ],
-    ids=["pushed", "asked"],
+    ids=["agent", "remote-10s"],
 )
 @pytest.mark.parametrize("outage", [2.0, 8.0, 31.0])
-def test_after_an_outage_of_discovery_a_change_is_known_in_time(monkeypatch, poll_policy, most, outage):
-    """What an agent gets at discovery's return counts at once, and a drain's grace may be half a second."""
+def test_a_change_is_known_in_time_after_a_discovery_outage(monkeypatch, poll_policy, max_delay, outage):
+    """A change takes effect once an agent gets it after the outage, and drain grace may be half a second."""
     monkeypatch.setattr("random.random", lambda: 0.999)
-    assert notification_delay(poll_policy, [], outage)[0] < most
+    assert notification_delay(poll_policy, [], outage)[0] < max_delay
 
 
-def feed_response(codec: WatchCodec, status: int, **listing: object) -> None:
-    body = json.dumps({"endpoints": [], **listing}).encode()
+def feed_response(codec: WatchCodec, status: int, **list_fields: object) -> None:
+    body = json.dumps({"endpoints": [], **list_fields}).encode()
     codec.feed(memoryview(http.encode_response(status, body)))
     codec.finish()
 
 
 @pytest.mark.parametrize(
-    ("status", "listing", "follows"),
+    ("status", "list_fields", "next_query"),
     [
         (200, {"index": 43, "snapshot": False}, "after=43&wait_ms=5000"),
-        (200, {"index": 7, "snapshot": True}, "after=7&wait_ms=5000"),  # whole: its version counts, whichever
-        (503, {}, "after=41&wait_ms=0"),  # overbooked: the version known stays good
+        (200, {"index": 7, "snapshot": True}, "after=7&wait_ms=5000"),  # a full list may lower the version
+        (503, {}, "after=41&wait_ms=0"),  # overloaded: the known version stays valid
         (410, {}, ""),
-        (404, {}, ""),  # not known there: the whole list
-        (200, {"index": 7, "snapshot": False}, ""),  # changes of another count of versions
+        (404, {}, ""),  # unknown version: requests the full list
+        (200, {"index": 7, "snapshot": False}, ""),  # changes from another version sequence
     ],
 )
 def test_a_watch_starts_at_the_known_version_and_requests_the_full_list_only_if_that_is_unknown(
-    status, listing, follows
+    status, list_fields, next_query
 ):
-    codec = WatchCodec("d", lambda _: None, 5.0, KNOWN)
+    codec = WatchCodec("d", lambda _: None, 5.0, KNOWN_VERSION)
     assert b"/v1/servers?after=41&wait_ms=0 " in codec.call()
     try:
-        feed_response(codec, status, **listing)
+        feed_response(codec, status, **list_fields)
     except ValueError:
-        assert (status, follows) != (200, "after=43&wait_ms=5000")
-    assert f"/v1/servers{'?' * bool(follows)}{follows} ".encode() in codec.call()
+        assert (status, next_query) != (200, "after=43&wait_ms=5000")
+    assert f"/v1/servers{'?' * bool(next_query)}{next_query} ".encode() in codec.call()
 
 
 class OverloadedDiscovery(Standin):
-    """Discovery that serves one call at a time: a call takes its time by the targets in its response,
-    waits for those before it and fails if it has waited too long."""
+    """Discovery that serves one poll at a time, in a time proportional to the targets in the response.
 
-    LINE_TIME, PATIENCE = 0.0005, 0.15  # s
+    A poll that would queue for longer than MAX_QUEUE_SECONDS is rejected.
+    """
+
+    SECONDS_PER_TARGET = 0.0005
+    MAX_QUEUE_SECONDS = 0.15
 
     def __init__(self) -> None:
         super().__init__()
-        self.index, self.free_at, self.fail, self.changed = KNOWN, 0.0, 0, asyncio.Event()
+        self.version = KNOWN_VERSION
+        self.busy_until = 0.0
+        self.rejected_count = 0
+        self.changed = asyncio.Event()
 
     async def serve(self, reader, writer) -> None:
         while True:
-            target = (await read_message(reader)).head.target
-            after = int(target.partition("after=")[2].partition("&")[0] or 0)
+            path = (await read_message(reader)).head.target
+            known_version = int(path.partition("after=")[2].partition("&")[0] or 0)
             now = time.monotonic()
-            if self.free_at - now > self.PATIENCE:
-                self.fail += 1
+            if self.busy_until - now > self.MAX_QUEUE_SECONDS:
+                self.rejected_count += 1
                 writer.write(http.encode_response(503, b""))
                 continue
-            lines = LINES if not after else 1
-            self.free_at = max(self.free_at, now) + lines * self.LINE_TIME
-            await asyncio.sleep(self.free_at - now)
-            if after == self.index and not target.endswith("wait_ms=0"):
+            target_count = TARGET_COUNT if not known_version else 1
+            self.busy_until = max(self.busy_until, now) + target_count * self.SECONDS_PER_TARGET
+            await asyncio.sleep(self.busy_until - now)
+            if known_version == self.version and not path.endswith("wait_ms=0"):
                 await self.changed.wait()
             writer.write(
                 http.encode_response(
-                    200, json.dumps({"index": self.index, "snapshot": not after, "endpoints": []}).encode()
+                    200,
+                    json.dumps(
+                        {"index": self.version, "snapshot": not known_version, "endpoints": []}
+                    ).encode(),
                 )
             )
 
-    def change(self) -> None:
-        self.index += 1
+    def publish_change(self) -> None:
+        self.version += 1
         self.changed.set()
 
 
-async def run_forty_watches(known: int | None) -> tuple[int, int]:
-    """Forty watches start at once: calls failed until all have the list, watches that know a change."""
-    discovery, seen = OverloadedDiscovery(), [0] * 40
+async def run_forty_watches(known_version: int | None) -> tuple[int, int]:
+    """Start forty watches together and publish a change once all have a list.
+
+    Returns how many polls were rejected before the change and how many watches received it.
+    """
+    discovery, seen_versions = OverloadedDiscovery(), [0] * 40
     await discovery.open()
     tasks = []
-    for number in range(len(seen)):
+    for watch_index in range(len(seen_versions)):
 
-        def took(listing, number=number):
-            seen[number] = listing.version
+        def on_list(target_list, watch_index=watch_index):
+            seen_versions[watch_index] = target_list.version
 
         poll_policy = BackoffPollPolicy.for_remote_discovery(10.0)
-        codec = WatchCodec("d", took, poll_policy.poll_wait, known)
+        codec = WatchCodec("d", on_list, poll_policy.poll_wait, known_version)
         watch = Watch(("127.0.0.1", discovery.port), BufferPool(), codec, poll_policy, lambda _: None)
         tasks.append(asyncio.create_task(watch.run()))
     try:
-        end = time.monotonic() + 1.5
-        while not all(seen) and time.monotonic() < end:
+        deadline = time.monotonic() + 1.5
+        while not all(seen_versions) and time.monotonic() < deadline:
             await asyncio.sleep(0.01)
-        failed = discovery.fail
-        discovery.change()
-        while sum(index > KNOWN for index in seen) < len(seen) and time.monotonic() < end:
+        rejected_count = discovery.rejected_count
+        discovery.publish_change()
+        while (
+            sum(version > KNOWN_VERSION for version in seen_versions) < len(seen_versions)
+            and time.monotonic() < deadline
+        ):
             await asyncio.sleep(0.01)
-        return failed, sum(index > KNOWN for index in seen)
+        return rejected_count, sum(version > KNOWN_VERSION for version in seen_versions)
     finally:
         for task in tasks:
             task.cancel()
@@ -235,10 +261,10 @@
         discovery.close()
 
 
-def test_forty_watches_that_restart_at_once_do_not_overload_discovery_and_all_learn_of_a_change():
-    assert asyncio.run(run_forty_watches(KNOWN)) == (0, 40)
+def test_forty_watches_that_restart_together_do_not_overload_discovery_and_all_learn_of_a_change():
+    assert asyncio.run(run_forty_watches(KNOWN_VERSION)) == (0, 40)
 
 
 def test_full_lists_for_forty_watches_would_overload_discovery():
-    failed, _ = asyncio.run(run_forty_watches(None))
-    assert failed > 10
+    rejected_count, _ = asyncio.run(run_forty_watches(None))
+    assert rejected_count > 10
