--- a/stalltiller/__main__.py
+++ b/stalltiller/__main__.py
@@ -12,9 +12,9 @@
 
 
 def main() -> int:
-    """Serve by the environment or by an operator's file, or run a command; returns the exit code."""
+    """Serve as the environment or an operator's file configures, or run a command; return the exit code."""
     if len(sys.argv) > 1 and sys.argv[1] in COMMANDS:
-        from stalltiller.daemon import cli  # the platform's start does not load it
+        from stalltiller.daemon import cli  # not imported on the platform
 
         return cli.main(prog_name="stalltiller")
     if len(sys.argv) > 2:
@@ -24,7 +24,7 @@
         from stalltiller.daemon.operator_config import read_operator_config
 
         return start(lambda: read_operator_config(sys.argv[1]))
-    # The environment never changes, so on a reload discovery's address comes from the file alone.
+    # The environment of a process cannot be changed, so a reload reads discovery's address from the file.
     reload_environment = {name: value for name, value in os.environ.items() if name != "PROXY_DISCOVERY"}
     return start(
         lambda: read_platform_config(os.environ),
--- a/stalltiller/daemon/__init__.py
+++ b/stalltiller/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration, logging, metrics and the wiring of the parts."""
+"""Configuration, logging, metrics and assembly of an initiator's components."""
--- a/stalltiller/daemon/admin_calls.py
+++ b/stalltiller/daemon/admin_calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls at the admin address, and what each of them does."""
+"""Administration calls: the operators' HTTP requests to the admin address and their effects."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 if TYPE_CHECKING:
     from stalltiller.daemon.application import Application
 
-# A call gets the request's body and returns whether it succeeded, or the response's body.  OSError means
-# that the call's effect could not be persisted, so it has none.
+# A call takes the request's body and returns whether it succeeded, or the response's body.  It raises OSError
+# if its effect could not be persisted; the effect is then not applied.
 AdminCall = Callable[[str], bool | bytes]
 MethodAndPath = tuple[str, str]
 
 
 class AdminCalls:
-    """Carries out the calls on one application.  An initiator without a fleet fails the fleet's calls."""
+    """Runs administration calls on one application.  Fleet calls fail on an initiator without a fleet."""
 
     def __init__(self, application: Application) -> None:
         self._application = application
 
     def routes(self) -> dict[MethodAndPath, AdminCall]:
-        """Return the calls by the method and path of their requests."""
+        """Return the calls, keyed by method and path of their requests."""
         return {
             ("GET", "/_ready"): self._is_ready,
             ("PUT", "/_targets/detach"): self._application.detached_targets.detach,
--- a/stalltiller/daemon/application.py
+++ b/stalltiller/daemon/application.py
@@ -1,4 +1,4 @@
-"""Wires the parts of one initiator together, starts them and closes them in order."""
+"""Assembles the components of one initiator, starts them and closes them in order."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
     from stalltiller.daemon.recovery_service import RecoveryService
     from stalltiller.fleet.config import FleetConfig
 
-LOCK_POLL_SECONDS = 0.01  # between attempts to get the lock on accepting clients
-CACHED_LIST_AFTER_SECONDS = 1.0  # without an answer of discovery, after which the list known is used
+ACCEPT_LOCK_POLL_INTERVAL_SECONDS = 0.01
+MAX_DISCOVERY_WAIT_SECONDS = 1.0  # if discovery has not responded by then, the known target list is used
 COUNTERS_INTERVAL_SECONDS = 5.0  # between log lines with the counters
 
 
@@ -57,10 +57,10 @@
         self._periodic_tasks: list[asyncio.Task[None]] = []
         self._build_data_path(config, is_tracing)
         self._build_control_path(config)
-        self._ready_at = loop.time() + CACHED_LIST_AFTER_SECONDS
+        self._discovery_wait_ends_at = loop.time() + MAX_DISCOVERY_WAIT_SECONDS
 
     def _build_data_path(self, config: Config, is_tracing: bool) -> None:
-        """Build what requests pass through: listener, server, engine and target client."""
+        """Build the request path: listener, server, engine and target client."""
         self.buffers = BufferPool()
         self.engine = Engine(
             config.settings, config.seed, self._loop, self._log, self._log if is_tracing else None
@@ -79,7 +79,7 @@
         )
 
     def _build_control_path(self, config: Config) -> None:
-        """Build what changes how requests are served: target list, settings, operators' calls, the end."""
+        """Build what controls the request path: target list, settings, administration calls, shutdown."""
         directory = TargetDirectory(self.engine, config.zones, config.kinds)
         self._directory = directory
         self._handover = ProcessHandover(config.handover_folder, config.name)
@@ -97,7 +97,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until `stop` is set, then until all requests are answered; raises OSError."""
+        """Serve until `stop` is set, then drain the open requests; raises OSError."""
         config = self.settings_reloader.config
         async with self._tasks:
             await self._open(config)
@@ -122,12 +122,12 @@
         self.settings_reloader.reload(read_config)
 
     def is_ready(self) -> bool:
-        """Return whether the target list known is good enough to serve from."""
-        has_list = self.discovery_watch.has_list or self._loop.time() >= self._ready_at
+        """Return whether the known target list is good enough to serve from."""
+        has_list = self.discovery_watch.has_list or self._loop.time() >= self._discovery_wait_ends_at
         return has_list and (self.recovery is None or self.recovery.is_ready())
 
     def sample(self) -> dict[str, float]:
-        """Return all figures: gauges as in GAUGES, the others only ever rise."""
+        """Return all metrics: the gauges listed in GAUGES; all others are counters."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         return {
             "open": self.engine.open_request_count,
@@ -144,7 +144,7 @@
 
     # --- Start --------------------------------------------------------------------------------------
     async def _open(self, config: Config) -> None:
-        """Restore what is persisted, open the listeners and join the fleet."""
+        """Restore persisted state, open the listeners and join the fleet."""
         self.detached_targets.load()
         target_list = self._restore_target_list(config)
         if target_list is not None:
@@ -152,9 +152,11 @@
         if config.admin is not None:
             await self.admin.open(*config.admin)
             self._log("admin", listen=format_address(self.admin.address))
-        # If a reload has moved the watch meanwhile, the versions of the address before mean nothing to it.
-        has_moved = self.discovery_watch.address != config.discovery
-        self.discovery_watch.start(None if target_list is None or has_moved else target_list.version)
+        # A reload may have changed discovery's address meanwhile; the known version is meaningless there.
+        has_address_changed = self.discovery_watch.address != config.discovery
+        self.discovery_watch.start(
+            None if target_list is None or has_address_changed else target_list.version
+        )
         if config.inherited_descriptor is not None:
             await self._wait_for_lock()
         await self.listener.open(*config.listen, config.inherited_descriptor)
@@ -162,10 +164,10 @@
             await self._join_fleet(config, config.fleet)
 
     def _restore_target_list(self, config: Config) -> TargetList | None:
-        """Return the newest target list known before discovery answers, and open the recovery service."""
+        """Open the recovery service and return the newest target list known before discovery responds."""
         if config.recovery is None:
             return config.initial_target_list
-        from stalltiller.daemon.recovery_service import RecoveryService  # the platform does not load it
+        from stalltiller.daemon.recovery_service import RecoveryService  # not imported on the platform
 
         self.recovery = RecoveryService(
             config.recovery,
@@ -176,20 +178,20 @@
             config.fleet is not None,
             self._log,
         )
-        self.discovery_watch.report_to(self.recovery)
+        self.discovery_watch.set_recovery(self.recovery)
         return self.recovery.initial_target_list(config.initial_target_list)
 
     async def _wait_for_lock(self) -> None:
         """Wait until the process that shares the listening socket accepts no more clients.
 
-        Guards against two processes that each spend all of this initiator's part of the limits.
+        Guards against two processes that each use this initiator's whole share of the plans' limits.
         """
         while not self._handover.acquire_lock() and not self.stop.is_set():
-            await asyncio.sleep(LOCK_POLL_SECONDS)
+            await asyncio.sleep(ACCEPT_LOCK_POLL_INTERVAL_SECONDS)
         self.engine.activate()
 
     async def _join_fleet(self, config: Config, fleet_config: FleetConfig) -> None:
-        from stalltiller.daemon.fleet_participation import FleetParticipation  # the platform does not load it
+        from stalltiller.daemon.fleet_participation import FleetParticipation  # not imported on the platform
 
         self.fleet = FleetParticipation(
             config.name, fleet_config, self.engine, self.buffers, self._tasks, self._log
@@ -205,7 +207,7 @@
 
     async def _start_recovery(self) -> None:
         if self.recovery is not None:
-            await asyncio.sleep(0)  # one turn of the loop, in which the scheduler learns of the target list
+            await asyncio.sleep(0)  # the scheduler receives the target list in this iteration of the loop
             self.recovery.start(self.is_ready)
 
     async def _report_counters(self) -> None:
@@ -213,9 +215,9 @@
             await asyncio.sleep(COUNTERS_INTERVAL_SECONDS)
             self._log("counters", **self.sample())
 
-    # --- End ----------------------------------------------------------------------------------------
+    # --- Shutdown -----------------------------------------------------------------------------------
     async def _close(self) -> None:
-        """Close everything but the recovery service, which persists the state after the last request."""
+        """Close everything except the recovery service, which saves its state after the last request."""
         self._metrics.close()
         self.listener.close()
         self.admin.close()
--- a/stalltiller/daemon/background_tasks.py
+++ b/stalltiller/daemon/background_tasks.py
@@ -1,6 +1,6 @@
-"""Owns the tasks that run beside service for as long as the program does.
+"""Owns the background tasks that run for the lifetime of the program.
 
-A task that fails is reported to the loop's exception handler, which logs it; the other tasks go on.
+A failed task is reported to the event loop's exception handler, which logs it; the other tasks continue.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class BackgroundTasks:
-    """Starts tasks; as a context manager, cancels and awaits at its end those that are left."""
+    """Starts tasks; as a context manager, cancels and awaits the remaining ones on exit."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -23,14 +23,14 @@
         await self.close()
 
     def start(self, coroutine: Coroutine[object, object, None]) -> asyncio.Task[None]:
-        """Run a coroutine as a task, which its caller may cancel earlier."""
+        """Run a coroutine as a task, which the caller may also cancel itself."""
         task = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
         return task
 
     async def close(self) -> None:
-        """Cancel the tasks that are left and wait for their ends."""
+        """Cancel the remaining tasks and wait until they have ended."""
         remaining = list(self._tasks)
         for task in remaining:
             task.cancel()
--- a/stalltiller/daemon/cli.py
+++ b/stalltiller/daemon/cli.py
@@ -14,13 +14,13 @@
 from stalltiller.daemon.serve import EXIT_USAGE, start
 from stalltiller.protocol.discovery import parse_address
 
-CALL_TIMEOUT_SECONDS = 5.0  # of a call to an initiator, which answers at once however busy it is
+ADMIN_CALL_TIMEOUT_SECONDS = 5.0  # an initiator responds to admin calls promptly, even under load
 HTTP_OK = 200
 MEMBER_COLUMNS = ("name", "state", "address", "zone", "life", "incarnation", "load")
 
 
 class CommandError(click.ClickException):
-    """A command failed: one plain line on standard error, and the exit code of a start that failed."""
+    """A command failed: prints one line on standard error and exits like a failed start."""
 
     exit_code = EXIT_USAGE
 
@@ -31,26 +31,26 @@
 
 @click.group()
 def main() -> None:
-    """A storage initiator: serve requests, check a file, inspect a fleet."""
+    """Storage initiator: serve requests, check a configuration file, inspect a fleet."""
 
 
 @main.command()
 @click.argument("file", type=click.Path())
 def serve(file: str) -> None:
-    """Serve by an operator's FILE until SIGTERM."""
+    """Serve as configured in an operator's FILE until SIGTERM or SIGINT."""
     sys.exit(start(lambda: read_operator_config(file)))
 
 
 @main.command()
 @click.argument("file", type=click.Path())
 def check(file: str) -> None:
-    """Check an operator's FILE; the first error is printed with its line."""
+    """Check an operator's FILE; print the first error, with its line if it violates the schema."""
     try:
         config = read_operator_config(file)
     except ConfigError as error:
         raise CommandError(str(error)) from error
     click.echo(
-        f"{file}: good, {config.name} listens on {config.listen[0]}:{config.listen[1]}"
+        f"{file}: valid, {config.name} listens on {config.listen[0]}:{config.listen[1]}"
         + (f" in fleet {config.fleet.fleet}" if config.fleet else "")
     )
 
@@ -58,34 +58,34 @@
 @main.command("init-voter")
 @click.argument("file", type=click.Path())
 def init_voter(file: str) -> None:
-    """Create the store of the voter named in an operator's FILE: once only, not after its disk was lost."""
+    """Create the store of the voter named in an operator's FILE: only once, never after its disk was lost."""
     from stalltiller.leases.store import create_voter_store
 
     try:
         config = read_operator_config(file)
         if config.leases is None or config.name not in config.leases.voters:
-            raise CommandError(f"{file}: {config.name} is no voter")
+            raise CommandError(f"{file}: {config.name} is not a voter")
         create_voter_store(config.leases.folder, config.name)
     except (ConfigError, OSError) as error:
         raise CommandError(str(error)) from error
-    click.echo(f"made {config.leases.folder}")
+    click.echo(f"created the voter store {config.leases.folder}")
 
 
 @main.group()
 @click.option("--admin", required=True, metavar="HOST:PORT", help="The admin address of any instance.")
 @click.pass_context
 def fleet(context: click.Context, admin: str) -> None:
-    """Inspect a fleet through one of its instances."""
+    """Inspect a fleet through one of its instances, or make that instance leave."""
     try:
         context.obj = parse_address(admin)
     except ValueError as error:
         raise click.BadParameter(str(error), param_hint="--admin") from error
 
 
-def _call(address: tuple[str, int], method: str, path: str) -> bytes:
-    """Call an initiator's admin address and return the response's body; raises CommandError."""
+def _admin_call(address: tuple[str, int], method: str, path: str) -> bytes:
+    """Make an administration call and return the response's body; raises CommandError."""
     host, port = address
-    connection = http.client.HTTPConnection(host, port, timeout=CALL_TIMEOUT_SECONDS)
+    connection = http.client.HTTPConnection(host, port, timeout=ADMIN_CALL_TIMEOUT_SECONDS)
     try:
         connection.request(method, path, headers={"Content-Length": "0"})
         response = connection.getresponse()
@@ -95,24 +95,26 @@
     finally:
         connection.close()
     if response.status != HTTP_OK:
-        raise CommandError(f"{host}:{port}: status {response.status}: is it in a fleet?")
+        raise CommandError(
+            f"{host}:{port}: HTTP status {response.status}; the instance may not be in a fleet"
+        )
     return body
 
 
 @fleet.command()
 @click.pass_obj
 def status(address: tuple[str, int]) -> None:
-    """Show this instance's view of its fleet and of itself."""
-    for name, value in orjson.loads(_call(address, "GET", "/_fleet/status")).items():
+    """Show this instance's view of its fleet and its own state."""
+    for name, value in orjson.loads(_admin_call(address, "GET", "/_fleet/status")).items():
         click.echo(f"{name:14} {value if not isinstance(value, dict) else orjson.dumps(value).decode()}")
 
 
 @fleet.command()
-@click.option("--json", "as_json", is_flag=True, help="As one line of JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print one line of JSON.")
 @click.pass_obj
 def members(address: tuple[str, int], as_json: bool) -> None:
     """List the members that this instance knows."""
-    body = _call(address, "GET", "/_fleet/members")
+    body = _admin_call(address, "GET", "/_fleet/members")
     if as_json:
         click.echo(body)
         return
@@ -127,15 +129,15 @@
 @click.pass_obj
 def leases(address: tuple[str, int]) -> None:
     """Show the leases of this instance and, if it is a voter, all leases that it knows."""
-    lease_status = orjson.loads(_call(address, "GET", "/_fleet/leases"))
+    lease_status = orjson.loads(_admin_call(address, "GET", "/_fleet/leases"))
     click.echo(orjson.dumps(lease_status, option=orjson.OPT_INDENT_2).decode())
 
 
 @fleet.command()
 @click.pass_obj
 def leave(address: tuple[str, int]) -> None:
-    """Make this instance leave its fleet; it continues to serve."""
-    _call(address, "PUT", "/_fleet/leave")
+    """Make this instance leave its fleet; it continues to serve requests."""
+    _admin_call(address, "PUT", "/_fleet/leave")
     click.echo("left")
 
 
--- a/stalltiller/daemon/config.py
+++ b/stalltiller/daemon/config.py
@@ -1,6 +1,6 @@
-"""The configuration of one initiator, and the reading of what the platform's and the operator's file share.
+"""The configuration of one initiator, and the parsing of keys shared by platform and operator files.
 
-A `Config` is immutable.  Whatever makes a file unusable is raised as a `ConfigError`.
+A `Config` is immutable.  An unusable file raises `ConfigError`.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 DEFAULT_CONNECT_TIMEOUT_SECONDS = 0.25
 DEFAULT_IDLE_TIMEOUT_SECONDS = 30.0
 
-# The keys of which a reload may lose none; `known`, for one, may come and go.
+# Keys that must remain in the file on a reload; others, such as `known`, may be added or removed.
 REQUIRED_ON_RELOAD = ("name", "listen", "discovery", "admin", "seed", "limits", "settings")
 
 
 class ConfigError(StalltillerError):
-    """The program can't start with its configuration; the text is one plain line.
+    """The configuration is invalid.
 
-    The text is `path:line: key: reason`, without the parts that are None.
+    The message is one line, `path:line: key: reason`, without the parts that are None.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
 
 
 class MissingKeyError(ConfigError):
-    """The file lacks a key."""
+    """A required key is missing from the file."""
 
     def __init__(self, key: str, *, path: str | None = None) -> None:
         super().__init__(f"{key} is missing", path=path)
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Sink:
-    """An address that metrics are sent to, every `interval` seconds."""
+    """A destination of metrics, which are sent every `interval` seconds."""
 
     address: tuple[str, int]
     interval: float
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """Everything that one initiator is configured with.  Times are in seconds."""
+    """The configuration of one initiator.  Times are in seconds."""
 
     name: str
     listen: tuple[str, int]
@@ -85,17 +85,17 @@
     zones: list[str]
     kinds: list[str]
     connect_timeout: float
-    idle_timeout: float  # after which an unused connection to a target is closed
-    nvme: nvme_mapping.Mapping | None = None  # None: the platform's HTTP server
+    idle_timeout: float  # for unused connections to targets
+    nvme: nvme_mapping.Mapping | None = None  # None: HTTP, as on the platform
     graphite: Sink | None = None
     collectd: Sink | None = None
-    required_keys: frozenset[str] = frozenset()  # the file's key paths, which a reload has to contain
-    admin: tuple[str, int] | None = None  # the address of the operators' calls
-    handover_folder: str | None = None  # shared by the processes of one initiator; None: nothing is persisted
-    inherited_descriptor: int | None = None  # of a socket that listens already; None: bind `listen`
-    fleet: FleetConfig | None = None  # None: it shares nothing with others, as on the platform
+    required_keys: frozenset[str] = frozenset()  # key paths that a reloaded file must contain
+    admin: tuple[str, int] | None = None  # the address for administration calls
+    handover_folder: str | None = None  # shared by this initiator's processes; None: no handover files
+    inherited_descriptor: int | None = None  # an open listening socket; None: bind `listen`
+    fleet: FleetConfig | None = None  # None: not in a fleet, as on the platform
     leases: LeaseConfig | None = None
-    recovery: RecoveryConfig | None = None  # None: nothing outlives a restart, as on the platform
+    recovery: RecoveryConfig | None = None  # None: no state is restored after a restart, as on the platform
 
 
 def format_address(address: tuple[str, int]) -> str:
@@ -105,7 +105,7 @@
 
 
 def key_paths(value: object, prefix: str = "") -> frozenset[str]:
-    """Return the dotted paths of all keys; for a list of objects, of those that all of them have."""
+    """Return the dotted paths of all keys; for a list of objects, the keys common to all of them."""
     if isinstance(value, dict):
         paths: frozenset[str] = frozenset()
         for key, item in value.items():
@@ -136,44 +136,44 @@
 
 
 def _check_positive(nested: dict) -> None:
-    """Reject deadlines and numbers of attempts that are not above 0: no request could be served with them."""
+    """Reject non-positive objectives, deadlines and attempt limits, with which no request could be served."""
     classes = nested.get("classes")
     limits = nested.get("limits")
-    candidates = [
+    checked_values = [
         (f"{cls.get('name')}: {key}", cls.get(key))
         for key in ("aim-ns", "give-up-ns")
         for cls in (classes if isinstance(classes, list) else ())
         if isinstance(cls, dict)
     ]
     if isinstance(limits, dict) and "attempts-cap" in limits:
-        candidates.append(("attempts-cap", limits["attempts-cap"]))
-    for name, value in candidates:
+        checked_values.append(("attempts-cap", limits["attempts-cap"]))
+    for name, value in checked_values:
         if isinstance(value, bool) or not isinstance(value, int | float) or value <= 0:
-            raise ConfigError(f"{name} is no number above 0: {value!r}", key="settings")
+            raise ConfigError(f"{name} must be a positive number, not {value!r}", key="settings")
 
 
 def parse_settings(nested: dict) -> Settings:
-    """Return the scheduler's settings from a file's `settings` object; raises ConfigError."""
+    """Parse the scheduler's settings from a file's `settings` object; raises ConfigError."""
     _check_positive(nested)
     try:
         settings = codec.settings_of(dict(flatten(nested)))
     except (codec.WireError, ValueError, OverflowError) as error:
         raise ConfigError(str(error), key="settings") from error
     if not settings.classes or not settings.plans:
-        raise ConfigError("no classes or no plans (contracts)", key="settings")
+        raise ConfigError("classes or contracts are missing", key="settings")
     return settings
 
 
 def configured_address(text: object, key: str) -> tuple[str, int]:
-    """Return the host and port that a file has under `key`; only discovery's port may not be 0."""
+    """Parse the address that a file has under `key`; port 0 is rejected only for discovery."""
     try:
         return parse_address(text, 1 if key == "discovery" else 0)
     except ValueError as error:
         raise ConfigError(str(error), key=key) from error
 
 
-def _seed(text: object) -> int:
-    """Return the seed as given, else a random one: instances of a fleet must not draw alike."""
+def _parse_seed(text: object) -> int:
+    """Return the configured seed or a random one: instances of a fleet must make different random choices."""
     if not text:
         return secrets.randbits(64)
     try:
@@ -182,7 +182,7 @@
         raise ConfigError(f"not hexadecimal: {text!r}", key="seed") from error
 
 
-def _initial_target_list(value: object) -> TargetList | None:
+def _parse_initial_target_list(value: object) -> TargetList | None:
     try:
         return parse_target_list_value(value) if value else None
     except DiscoveryError as error:
@@ -199,21 +199,21 @@
     return value if isinstance(value, int) and value > 0 else default
 
 
-def _strings(value: object) -> list[str]:
+def _parse_strings(value: object) -> list[str]:
     return [str(item) for item in value] if isinstance(value, list) else []
 
 
 def parse_shared_config(data: dict, path: str) -> Config:
-    """Return the configuration from the keys that both kinds of file have; raises ConfigError."""
+    """Build the configuration from the keys that both kinds of file share; raises ConfigError."""
     required_keys = key_paths({key: data[key] for key in REQUIRED_ON_RELOAD if data.get(key) is not None})
     nested = data.get("settings")
     if not isinstance(nested, dict):
-        raise ConfigError("no settings", path=path)
+        raise ConfigError("settings are missing or not an object", path=path)
     for key in ("listen", "discovery"):
         if not data.get(key):
-            raise ConfigError(f"no address for {key}", path=path)
+            raise ConfigError(f"the {key} address is missing", path=path)
     admin = configured_address(data["admin"], "admin") if data.get("admin") else None
-    initial_target_list = _initial_target_list(data.get("known"))
+    initial_target_list = _parse_initial_target_list(data.get("known"))
     process_limits = data.get("limits")
     request_limits = nested.get("limits")
     memory_megabytes = _positive_integer(process_limits, "memory_mb", DEFAULT_MEMORY_MEGABYTES)
@@ -221,13 +221,13 @@
         name=str(data.get("name") or DEFAULT_NAME),
         listen=configured_address(data["listen"], "listen"),
         discovery=configured_address(data["discovery"], "discovery"),
-        seed=_seed(data.get("seed")),
+        seed=_parse_seed(data.get("seed")),
         max_descriptors=_positive_integer(process_limits, "sockets", DEFAULT_MAX_DESCRIPTORS),
         memory_bytes=memory_megabytes * BYTES_PER_MEGABYTE,
         initial_target_list=initial_target_list,
         settings=parse_settings(nested),
-        zones=_strings(nested.get("areas")),
-        kinds=_strings(nested.get("kinds")),
+        zones=_parse_strings(nested.get("areas")),
+        kinds=_parse_strings(nested.get("kinds")),
         connect_timeout=_duration_seconds(
             request_limits, "connect-timeout-ns", DEFAULT_CONNECT_TIMEOUT_SECONDS
         ),
--- a/stalltiller/daemon/discovery_watch.py
+++ b/stalltiller/daemon/discovery_watch.py
@@ -1,4 +1,4 @@
-"""Watches one discovery service at a time and passes its target lists on to the engine."""
+"""Watches one discovery service at a time and passes its target lists to the engine."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class DiscoveryWatch:
-    """The watch of the current address; `has_list` tells whether discovery has answered since the start."""
+    """The watch on the current address; `has_list` is set once discovery has responded."""
 
     def __init__(
         self,
@@ -42,12 +42,12 @@
         self._recovery: RecoveryService | None = None
         self._task: asyncio.Task[None] | None = None
 
-    def report_to(self, recovery: RecoveryService) -> None:
-        """Have a recovery service learn of lists and addresses, and say how often discovery is polled."""
+    def set_recovery(self, recovery: RecoveryService) -> None:
+        """Notify a recovery service of target lists and address changes, and use its poll policy."""
         self._recovery = recovery
 
     def start(self, known_version: int | None = None) -> None:
-        """Watch from a known version of the list on, or without one from the whole list on."""
+        """Watch for changes since a known list version, or without one start with a full list."""
         backoff_policy = self._backoff_policy()
         codec = WatchCodec(
             format_address(self.address),
@@ -62,8 +62,8 @@
         watch = Watch(self.address, self._buffers, codec, poll_policy, self._on_failure)
         self._task = self._tasks.start(watch.run())
 
-    def move_to(self, address: tuple[str, int]) -> None:
-        """Watch another address from its whole list on: versions of one address mean nothing to another."""
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Watch another address, starting with a full list: list versions are valid for one address only."""
         if address == self.address:
             return
         self.address = address
@@ -74,7 +74,7 @@
             self.start()
 
     def stop(self) -> None:
-        """End the watch; the list known stays."""
+        """End the watch; the known target list remains in use."""
         if self._task is not None:
             self._task.cancel()
 
@@ -90,7 +90,7 @@
         if self._recovery is not None:
             self._recovery.handle_target_list(target_list)
         if not target_list.targets and not target_list.is_full:
-            return  # nothing is new
+            return  # no changes
         self._log(
             "list",
             index=target_list.version,
--- a/stalltiller/daemon/graceful_shutdown.py
+++ b/stalltiller/daemon/graceful_shutdown.py
@@ -1,7 +1,7 @@
-"""Ends service without losing a request: serve on, close connection by connection, answer what is left.
+"""Shuts down without losing a request: continue to serve, close idle connections, finish open requests.
 
-Guards against standing idle: clients of this initiator have no other way to their data, and its next start
-waits for no early end.  Whoever stops the initiator waits for the longest deadline, of 3 s at most.
+Guards against ending service early: clients of this initiator have no other path to their data, and an early
+exit does not bring its next start forward.  The supervisor waits for the longest deadline, at most 3 s.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from stalltiller.routing.engine import Engine
 from stalltiller.transport.listener import Listener
 
-KEEP_LISTENING_SECONDS = 0.5  # after SIGTERM, though no request is open: clients learn of it late
-MAX_DEADLINE_SECONDS = 3.0  # a longer deadline counts as this
-GRACE_SECONDS = 0.1  # past the longest deadline, after which everything is answered and the program ends
-CLOSING_SECONDS = 0.5  # before that end: when it starts to close the connections that clients keep open
-LINGER_SECONDS = 0.4  # past that end, in which clients read the last responses and close
-DRAIN_POLL_SECONDS = 0.02
-LINGER_POLL_SECONDS = 0.01
+KEEP_LISTENING_SECONDS = 0.5  # after SIGTERM, even without open requests: clients are notified late
+MAX_DEADLINE_SECONDS = 3.0  # upper limit of the class deadlines considered
+DEADLINE_MARGIN_SECONDS = 0.1  # past the longest deadline, the drain ends and open requests are finished
+CLOSING_SECONDS = 0.5  # from the first closing of idle connections to the end of the drain
+LINGER_SECONDS = 0.4  # after the drain, for clients to read the last responses and close
+DRAIN_POLL_INTERVAL_SECONDS = 0.02
+LINGER_POLL_INTERVAL_SECONDS = 0.01
 
 
 class GracefulShutdown:
-    """Drains one initiator; it owns none of the parts that it drains."""
+    """Drains one initiator; it owns none of the components that it drains."""
 
     def __init__(
         self,
@@ -40,30 +40,30 @@
         self._handover = handover
 
     async def drain(self, has_successor: bool) -> None:
-        """Return when nothing is left or time is up.
+        """Drain until no request or connection is left, or the time is up.
 
-        With a successor, another process accepts the new connections on the same listening socket from now
-        on; without, this one accepts them until it begins to close connections.
+        With a successor, another process accepts new connections on the shared listening socket from now on;
+        without one, this process accepts them until it begins to close connections.
         """
         longest_deadline = max(cls.deadline for cls in self._engine.settings.classes)
-        end_time = self._loop.time() + min(longest_deadline, MAX_DEADLINE_SECONDS) + GRACE_SECONDS
+        end_time = self._loop.time() + min(longest_deadline, MAX_DEADLINE_SECONDS) + DEADLINE_MARGIN_SECONDS
         self._listener.keep_idle = True
         if has_successor:
             await self._yield_to_successor()
         await asyncio.sleep(KEEP_LISTENING_SECONDS)
         while self._loop.time() < end_time - CLOSING_SECONDS and self._is_in_use():
-            await asyncio.sleep(DRAIN_POLL_SECONDS)
-        # Connections that wait to be accepted now are served too.
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_SECONDS)
+        # Without a successor, connections in the kernel's backlog are accepted and served too.
         await self._listener.stop(take_in=not has_successor)
-        self._adapters.server.stopping = True  # from now on each response ends its connection
+        self._adapters.server.stopping = True  # connections close after their next response
         while self._loop.time() < end_time and self._is_in_use():
             self._listener.close_idle()
-            await asyncio.sleep(DRAIN_POLL_SECONDS)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_SECONDS)
         self._engine.finish_all()
         await self._linger(end_time + LINGER_SECONDS)
 
     async def _yield_to_successor(self) -> None:
-        """Have the next process accept clients; here each response ends its connection."""
+        """Let the next process accept clients; here connections close after their next response."""
         await self._listener.stop(take_in=False)
         self._adapters.server.stopping = True
         self._engine.deactivate()
@@ -72,7 +72,7 @@
     async def _linger(self, end_time: float) -> None:
         while self._loop.time() < end_time and len(self._listener):
             self._listener.close_idle()
-            await asyncio.sleep(LINGER_POLL_SECONDS)
+            await asyncio.sleep(LINGER_POLL_INTERVAL_SECONDS)
         self._listener.abort_partial_responses()
         await asyncio.sleep(0)
 
--- a/stalltiller/daemon/log.py
+++ b/stalltiller/daemon/log.py
@@ -9,12 +9,12 @@
 import orjson
 
 STDOUT_DESCRIPTOR = 1
-MAX_LINES_PER_SECOND = 200  # more are counted and dropped: a log must not take the core from service
-MAX_TRACE_LINES_PER_SECOND = 5000  # with each request's steps traced
+MAX_LINES_PER_SECOND = 200  # excess lines are dropped and counted, so that requests keep the CPU
+MAX_TRACE_LINES_PER_SECOND = 5000  # when each step of each request is traced
 
 
 class JsonLog:
-    """Writes events as lines; what can't be written is counted in `dropped` and lost."""
+    """Writes events as lines; those that cannot be written are dropped and counted in `dropped`."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self.dropped = 0
 
     def make_nonblocking(self) -> None:
-        """Make a pipe non-blocking: if its reader stops, lines are lost and service goes on."""
+        """Make a pipe non-blocking: if its reader stops, lines are dropped and requests are not delayed."""
         if stat.S_ISFIFO(os.fstat(self._descriptor).st_mode):
             os.set_blocking(self._descriptor, False)
 
--- a/stalltiller/daemon/metrics.py
+++ b/stalltiller/daemon/metrics.py
@@ -1,7 +1,7 @@
-"""Exports metrics: a sample at regular intervals to Graphite, collectd or both; off unless configured.
+"""Exports metric samples at regular intervals to Graphite, collectd or both; disabled unless configured.
 
-Sending never waits: a sink that does not accept a sample in time loses it, and at most 64 KiB are buffered
-for a sink that does not read.
+Sending never blocks: a sample that a sink does not accept in time is dropped, as are further samples once
+64 KiB are buffered for a sink that does not read.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from stalltiller.daemon.config import Config, Sink
 from stalltiller.protocol.metrics import collectd_packets, graphite_lines
 
-# All other figures are counters, which only ever rise.
+# All other metrics are counters, which never decrease.
 GAUGES = frozenset(
     (
         "open",
@@ -28,7 +28,7 @@
         "recovery_ramping",
     )
 )
-MAX_UNSENT_BYTES = 64 * 1024  # buffered for a sink that does not read; past this, samples are lost
+MAX_UNSENT_BYTES = 64 * 1024  # with more buffered for a sink that does not read, samples are dropped
 
 Sample = Callable[[], dict[str, float]]
 
@@ -52,7 +52,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending."""
         if self._graphite_sink is not None:
             self._tasks.append(self._background_tasks.start(self._export_to_graphite(self._graphite_sink)))
         if self._collectd_sink is not None:
@@ -72,7 +72,7 @@
                     try:
                         async with asyncio.timeout(sink.interval):
                             transport, _ = await self._loop.create_connection(asyncio.Protocol, *sink.address)
-                    except OSError:  # nothing listens there: this sample is lost
+                    except OSError:  # connection refused or timed out: this sample is dropped
                         continue
                 if transport.get_write_buffer_size() < MAX_UNSENT_BYTES:
                     transport.write(graphite_lines(self._name, self._sample(), time.time()))
@@ -92,7 +92,7 @@
                         )
                     except OSError:
                         continue
-                # asyncio's datagram transports have this method, but typeshed does not name it.
+                # asyncio's datagram transports have this method, but typeshed does not declare it.
                 unsent_bytes = transport.get_write_buffer_size()  # type: ignore[attr-defined]
                 if unsent_bytes < MAX_UNSENT_BYTES:
                     self._send_collectd_packets(transport, sink.interval)
--- a/stalltiller/daemon/operator_config.py
+++ b/stalltiller/daemon/operator_config.py
@@ -1,4 +1,4 @@
-"""Reads an operator's TOML file, which may set up NVMe/TCP, metrics, a fleet, leases and recovery."""
+"""Reads an operator's TOML file, which may configure NVMe/TCP, metrics, a fleet, leases and recovery."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 MIN_SINK_INTERVAL_SECONDS = 0.05
 MAX_SINK_INTERVAL_SECONDS = 3600
 DEFAULT_LEASE_DURATION_SECONDS = 2.0
-DEFAULT_MAX_LOG_ENTRIES = 2000  # applied entries of the leases' log, after which a snapshot replaces them
+DEFAULT_MAX_LOG_ENTRIES = 2000  # applied lease log entries before a snapshot replaces them
 VOTER_COUNTS = (3, 5)
 DEFAULT_BLOCK_BYTES = 4096
 MIN_BLOCK_BYTES = 512
-BROADCAST_NAMESPACE_ID = 0xFFFFFFFF  # means all namespaces, so none may have it
+BROADCAST_NAMESPACE_ID = 0xFFFFFFFF  # addresses all namespaces, so it identifies none
 
 
 def read_operator_config(path: str) -> Config:
-    """Read an operator's file.  Raises ConfigError, with the line where the file violates the schema."""
-    from stalltiller.daemon.schema import first_violation  # the platform's start does not load it
+    """Read an operator's file.  Raises ConfigError, with the line number of a schema violation."""
+    from stalltiller.daemon.schema import first_violation  # not imported on the platform
 
     try:
         text = Path(path).read_text()
@@ -45,7 +45,7 @@
     except OSError as error:
         raise ConfigError(str(error.strerror), path=path) from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise ConfigError(f"not TOML: {error}", path=path) from error
+        raise ConfigError(f"invalid TOML: {error}", path=path) from error
     violation = first_violation(data, text)
     if violation is not None:
         raise ConfigError(violation.message, key=violation.key, path=path, line=violation.line)
@@ -58,37 +58,37 @@
 
 
 def _parse_operator_config(data: dict, path: str) -> Config:
-    graphite = _sink(data, "graphite")
-    collectd = _sink(data, "collectd")
+    graphite = _parse_sink(data, "graphite")
+    collectd = _parse_sink(data, "collectd")
     config = replace(parse_shared_config(data, path), graphite=graphite, collectd=collectd)
     if "fleet" in data:
-        config = replace(config, fleet=_fleet(data["fleet"], config))
+        config = replace(config, fleet=_parse_fleet(data["fleet"], config))
     if "leases" in data:
-        config = replace(config, leases=_leases(data["leases"], config))
+        config = replace(config, leases=_parse_leases(data["leases"], config))
     if "recovery" in data:
-        config = replace(config, recovery=_recovery(data["recovery"]))
+        config = replace(config, recovery=_parse_recovery(data["recovery"]))
     if "nvme" in data:
-        config = replace(config, nvme=_nvme_mapping(data["nvme"], config.settings))
+        config = replace(config, nvme=_parse_nvme_mapping(data["nvme"], config.settings))
     return config
 
 
-def _sink(data: dict, key: str) -> Sink | None:
+def _parse_sink(data: dict, key: str) -> Sink | None:
     if key not in data:
         return None
     interval = float(data[key].get("interval_s", DEFAULT_SINK_INTERVAL_SECONDS))
     if not MIN_SINK_INTERVAL_SECONDS <= interval <= MAX_SINK_INTERVAL_SECONDS:
-        raise ConfigError("interval_s must lie between 0.05 and 3600", key=key)
+        raise ConfigError("interval_s must be between 0.05 and 3600", key=key)
     return Sink(configured_address(data[key]["address"], key), interval)
 
 
-def _fleet(data: dict, config: Config) -> FleetConfig:
-    from stalltiller.fleet.config import fleet_config  # the platform's start does not load it
+def _parse_fleet(data: dict, config: Config) -> FleetConfig:
+    from stalltiller.fleet.config import fleet_config  # not imported on the platform
 
     zone = config.zones[config.settings.zone] if config.settings.zone < len(config.zones) else ""
     return fleet_config(data, zone)
 
 
-def _recovery(data: dict) -> RecoveryConfig:
+def _parse_recovery(data: dict) -> RecoveryConfig:
     from stalltiller.daemon.recovery_service import RecoveryConfig
 
     defaults = RecoveryConfig(str(data["folder"]))
@@ -100,12 +100,12 @@
     )
 
 
-def _leases(data: dict, config: Config) -> LeaseConfig:
+def _parse_leases(data: dict, config: Config) -> LeaseConfig:
     from stalltiller.daemon.lease_service import LeaseConfig
 
     voters = tuple(map(str, data["voters"]))
     if config.fleet is None or len(voters) not in VOTER_COUNTS or len(set(voters)) != len(voters):
-        raise ConfigError("they need [fleet] and the names of 3 or 5 members to vote", key="leases")
+        raise ConfigError("[fleet] and the names of 3 or 5 distinct voters are required", key="leases")
     return LeaseConfig(
         voters,
         str(data["folder"]),
@@ -114,27 +114,27 @@
     )
 
 
-def _nvme_mapping(data: dict, settings: Settings) -> nvme_mapping.Mapping:
+def _parse_nvme_mapping(data: dict, settings: Settings) -> nvme_mapping.Mapping:
     plan_indices = {plan.name: index for index, plan in enumerate(settings.plans)}
     namespaces: dict[int, nvme_mapping.Namespace] = {}
     for table in data["namespaces"]:
         namespace_id = int(table["id"])
         block_bytes = int(table.get("block_size", DEFAULT_BLOCK_BYTES))
         if not 0 < namespace_id < BROADCAST_NAMESPACE_ID or namespace_id in namespaces:
-            raise ConfigError("the id is out of range or given twice", key=f"namespace {namespace_id}")
-        namespaces[namespace_id] = _namespace(table, namespace_id, block_bytes, plan_indices)
-    opcodes = _opcodes(data["opcodes"], settings)
+            raise ConfigError("the id is out of range or not unique", key=f"namespace {namespace_id}")
+        namespaces[namespace_id] = _parse_namespace(table, namespace_id, block_bytes, plan_indices)
+    opcodes = _parse_opcodes(data["opcodes"], settings)
     return nvme_mapping.Mapping(str(data["subsystem"]), namespaces, opcodes)
 
 
-def _namespace(
+def _parse_namespace(
     table: dict, namespace_id: int, block_bytes: int, plan_indices: dict[str, int]
 ) -> nvme_mapping.Namespace:
     key = f"namespace {namespace_id}"
     if block_bytes & (block_bytes - 1) or not MIN_BLOCK_BYTES <= block_bytes <= nvme.MAX_DATA:
         raise ConfigError("block_size must be a power of two from 512 to 64 KiB", key=key)
     if table["plan"] not in plan_indices:
-        raise ConfigError(f"plan not known: {table['plan']}", key=key)
+        raise ConfigError(f"unknown plan: {table['plan']}", key=key)
     namespace = nvme_mapping.Namespace(
         int(str(table["volume"]), 16),
         plan_indices[table["plan"]],
@@ -148,23 +148,23 @@
         min(namespace.initiator_count, namespace.blocks, namespace.blocks_per_unit) <= 0
         or namespace.shard < 0
     ):
-        raise ConfigError("hosts, blocks, blocks_per_unit or shard out of range", key=key)
+        raise ConfigError("hosts, blocks, blocks_per_unit or shard is out of range", key=key)
     return namespace
 
 
-def _opcodes(data: dict, settings: Settings) -> dict[int, nvme_mapping.OpcodeMapping]:
-    """Return for each opcode the index of its class and its deadline in seconds."""
+def _parse_opcodes(data: dict, settings: Settings) -> dict[int, nvme_mapping.OpcodeMapping]:
+    """Map each opcode to the index of its request class and its deadline in seconds."""
     class_indices = {cls.name: index for index, cls in enumerate(settings.classes)}
     opcodes: dict[int, nvme_mapping.OpcodeMapping] = {}
     for name, opcode, is_write in (("read", nvme.READ, False), ("write", nvme.WRITE, True)):
         key = f"opcode {name}"
         table = data[name]
         if table["class"] not in class_indices:
-            raise ConfigError(f"class not known: {table['class']}", key=key)
+            raise ConfigError(f"unknown class: {table['class']}", key=key)
         class_index = class_indices[table["class"]]
         if settings.classes[class_index].is_write is (not is_write):
-            raise ConfigError(f"class {table['class']} does not go with it", key=key)
+            raise ConfigError(f"class {table['class']} does not allow {name} commands", key=key)
         if not table["deadline_ms"] > 0:
-            raise ConfigError("deadline_ms must be above zero", key=key)
+            raise ConfigError("deadline_ms must be positive", key=key)
         opcodes[opcode] = nvme_mapping.OpcodeMapping(class_index, table["deadline_ms"] / 1000)
     return opcodes
--- a/stalltiller/daemon/platform_config.py
+++ b/stalltiller/daemon/platform_config.py
@@ -1,4 +1,4 @@
-"""Reads the platform's configuration: environment variables and the JSON file that one of them names."""
+"""Reads the platform's configuration: environment variables and the JSON file named by PROXY_CONFIG."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 from stalltiller.daemon.config import Config, ConfigError, parse_shared_config
 
-STANDARD_DESCRIPTORS = 3  # standard input, output and error: none of them is a listening socket
+STANDARD_DESCRIPTORS = 3  # standard input, output and error, which are not listening sockets
 
 
 def read_json(path: str) -> dict:
-    """Return the JSON object in a file; raises ConfigError."""
+    """Read a JSON object from a file; raises ConfigError."""
     try:
         data = orjson.loads(Path(path).read_bytes())
     except OSError as error:
         raise ConfigError(str(error.strerror), path=path) from error
     except orjson.JSONDecodeError as error:
-        raise ConfigError(f"not JSON: {error}", path=path) from error
+        raise ConfigError(f"invalid JSON: {error}", path=path) from error
     if not isinstance(data, dict):
         raise ConfigError("not a JSON object", path=path)
     return data
@@ -30,14 +30,14 @@
     if not text:
         return None
     if not text.isascii() or not text.isdigit() or int(text) < STANDARD_DESCRIPTORS:
-        raise ConfigError(f"not a descriptor: {text!r}", key="PROXY_INHERITED_FD")
+        raise ConfigError(f"not a valid descriptor: {text!r}", key="PROXY_INHERITED_FD")
     return int(text)
 
 
 def read_platform_config(environment: Mapping[str, str]) -> Config:
     """Read the file that PROXY_CONFIG names; the other PROXY_ variables override it.  Raises ConfigError.
 
-    For a reload, leave PROXY_DISCOVERY out: then the file alone counts for discovery's address.
+    For a reload, omit PROXY_DISCOVERY so that discovery's address is read from the file.
     """
     path = environment.get("PROXY_CONFIG")
     if not path:
--- a/stalltiller/daemon/process_handover.py
+++ b/stalltiller/daemon/process_handover.py
@@ -1,7 +1,7 @@
-"""What the processes of one initiator share: the detached targets, and a lock on accepting clients.
+"""State shared by the processes of one initiator: the detached targets, and a lock on accepting clients.
 
-Both are files in a folder that operators keep for the initiator.  Writes of the file of detached targets are
-atomic; the lock is released by the kernel if its process dies.
+Both are files in a folder that operators provide for the initiator.  The file of detached targets is written
+atomically; the kernel releases the lock if its process dies.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class FileVersion(NamedTuple):
-    """What changes whenever a file is replaced."""
+    """Attributes of a file that differ after it is replaced."""
 
     modified_at_ns: int
     inode: int
 
 
 class ProcessHandover:
-    """The two files of one initiator; without a folder nothing persists and the lock is always granted."""
+    """The two files of one initiator; without a folder nothing is persisted and locking always succeeds."""
 
     def __init__(self, folder: str | None, name: str) -> None:
         self._detached_path: Path | None = None
@@ -32,7 +32,7 @@
             base = Path(folder) / ("stalltiller-" + re.sub(r"[^\w-]", "_", name))
             self._detached_path = base.with_suffix(".out")
             self._lock_path = base.with_suffix(".lock")
-        self._last_version: FileVersion | None = None  # of the detached targets, at the last read or write
+        self._last_version: FileVersion | None = None  # the detached targets' file, last read or written
         self._lock_descriptor: int | None = None
 
     # --- Detached targets ---------------------------------------------------------------------------
@@ -41,18 +41,18 @@
         return self._current_version() != self._last_version
 
     def load(self) -> dict[str, float]:
-        """Return the names of the detached targets, and when each was detached (Unix time)."""
+        """Read the names of the detached targets and when each was detached (Unix time)."""
         self._last_version = self._current_version()
         if self._detached_path is None:
             return {}
         try:
             entries = orjson.loads(self._detached_path.read_bytes())
             return {str(name): float(detached_at) for name, detached_at in entries.items()}
-        except (OSError, ValueError, TypeError, AttributeError):  # no file so far, or not one of ours
+        except (OSError, ValueError, TypeError, AttributeError):  # no file yet, or an invalid one
             return {}
 
     def save(self, detached: dict[str, float]) -> None:
-        """Replace the file in one step, so that nobody reads half of it; raises OSError."""
+        """Replace the file atomically, so that no process reads a partial one; raises OSError."""
         if self._detached_path is None:
             return
         temporary_path = self._detached_path.with_suffix(f".{os.getpid()}")
@@ -71,12 +71,12 @@
 
     # --- The lock on accepting clients --------------------------------------------------------------
     def acquire_lock(self) -> bool:
-        """Return whether this process may accept clients; it holds the lock until it releases it or dies."""
+        """Return whether this process may accept clients; if so, it holds the lock until `release_lock`."""
         if self._lock_path is None or self._lock_descriptor is not None:
             return True
         try:
             descriptor = os.open(self._lock_path, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
-        except OSError:  # no process can lock it: better that two accept clients than none
+        except OSError:  # unusable for every process: two accepting processes are better than none
             return True
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/stalltiller/daemon/protocol_adapters.py
+++ b/stalltiller/daemon/protocol_adapters.py
@@ -1,4 +1,4 @@
-"""Builds the server side and the target client of the protocol that an initiator is configured for."""
+"""Builds the server side and the target client for an initiator's configured protocol."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     target_client: HttpTargetClient
 
     def update_settings(self, settings: Settings, _mapping: Mapping | None) -> None:
-        """Use other settings from now on; HTTP has no mapping of namespaces."""
+        """Apply new settings; HTTP has no NVMe mapping."""
         self.server.update_settings(settings)
         self.target_client.update_settings(settings)
 
@@ -40,7 +40,7 @@
     target_client: NvmeTargetClient
 
     def update_settings(self, settings: Settings, mapping: Mapping | None) -> None:
-        """Use other settings from now on, and the mapping, or without one the mapping used so far."""
+        """Apply new settings and a new mapping; None keeps the current mapping."""
         self.server.update_settings(settings, mapping or self.server.mapping)
 
 
@@ -56,7 +56,7 @@
     is_ready: Callable[[], bool],
     log: JsonLog,
 ) -> ProtocolAdapters:
-    """Return the adapters for NVMe/TCP if the configuration has a mapping of namespaces, else for HTTP."""
+    """Return the adapters for NVMe/TCP if the configuration has an NVMe mapping, else for HTTP."""
     if config.nvme is not None:
         return _build_nvme_adapters(config, config.nvme, limits, loop, engine, buffers, log)
     server = HttpServer(
--- a/stalltiller/daemon/schema.py
+++ b/stalltiller/daemon/schema.py
@@ -1,4 +1,4 @@
-"""Checks an operator's file against its JSON Schema and finds the line of what is wrong."""
+"""Validates an operator's file against its JSON Schema and finds the line of each violation."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def find_lines(text: str) -> dict[KeyPath, int]:
-    """Return the line (from 1) on which each table and each key of a TOML text stands, by its path."""
+    """Return the line (from 1) of each table and each key of a TOML text, by its path."""
     lines: dict[KeyPath, int] = {(): 1}
     table_counts: dict[KeyPath, int] = {}  # elements of each array of tables so far
     table_path: KeyPath = ()
@@ -51,18 +51,18 @@
 
 
 def first_violation(data: dict, text: str) -> SchemaViolation | None:
-    """Return the first violation by its line in the file, or None if the file is valid."""
+    """Return the violation with the lowest line number, or None if the file is valid."""
     lines = find_lines(text)
     validator = Draft202012Validator(orjson.loads(SCHEMA_FILE.read_bytes()))
-    violations = [_violation(error, lines) for error in validator.iter_errors(data)]
+    violations = [_to_violation(error, lines) for error in validator.iter_errors(data)]
     if not violations:
         return None
     return min(violations, key=lambda violation: (violation.line, violation.key or "", violation.message))
 
 
-def _violation(error: ValidationError, lines: dict[KeyPath, int]) -> SchemaViolation:
+def _to_violation(error: ValidationError, lines: dict[KeyPath, int]) -> SchemaViolation:
     path = tuple(error.absolute_path)
-    if error.validator == UNKNOWN_KEY_VALIDATOR:  # name the unknown key, not the table around it
+    if error.validator == UNKNOWN_KEY_VALIDATOR:  # report the unknown key, not the table that contains it
         unknown_keys = sorted(set(error.instance) - set(error.schema["properties"]))
         path += (unknown_keys[0],)
     known_path = path
--- a/stalltiller/daemon/serve.py
+++ b/stalltiller/daemon/serve.py
@@ -1,4 +1,4 @@
-"""Runs one initiator from its configuration to its end: signal handlers, log and exit code."""
+"""Runs one initiator from start to exit: signal handlers, log and exit code."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from stalltiller.daemon.config import Config, ConfigError
 from stalltiller.daemon.log import MAX_LINES_PER_SECOND, MAX_TRACE_LINES_PER_SECOND, JsonLog
 
-TRACE_VARIABLE = "STALLTILLER_TRACE"  # set to 1: each step of each request is a line of the log
+TRACE_VARIABLE = "STALLTILLER_TRACE"  # 1: log each step of each request
 EXIT_OK = 0
-EXIT_USAGE = 2  # bad arguments or configuration, or an address that can't be listened on
+EXIT_USAGE = 2  # invalid arguments or configuration, or an OSError such as an address in use
 
 
-async def serve(config: Config, read_config_again: Callable[[], Config]) -> None:
-    """Run until SIGTERM or SIGINT; SIGHUP has the configuration read again."""
+async def serve(config: Config, read_config_on_reload: Callable[[], Config]) -> None:
+    """Run until SIGTERM or SIGINT; SIGHUP reloads the configuration."""
     loop = asyncio.get_running_loop()
     is_tracing = os.environ.get(TRACE_VARIABLE) == "1"
     log = JsonLog(
@@ -28,22 +28,24 @@
     log.make_nonblocking()
 
     def log_loop_error(_: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
-        """Log what asyncio would print, such as a failed accept when descriptors run out."""
+        """Log errors that asyncio would print, such as a failed accept without free descriptors."""
         log("loop_error", message=context.get("message"), error=repr(context.get("exception")))
 
     loop.set_exception_handler(log_loop_error)
     application = Application(config, log, loop, is_tracing)
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, application.stop.set)
-    loop.add_signal_handler(signal.SIGHUP, application.reload, read_config_again)
+    loop.add_signal_handler(signal.SIGHUP, application.reload, read_config_on_reload)
     await application.run()
 
 
-def start(read_config: Callable[[], Config], read_config_again: Callable[[], Config] | None = None) -> int:
-    """Serve until a signal ends it; returns the exit code.  What prevents a start is printed as one line."""
+def start(
+    read_config: Callable[[], Config], read_config_on_reload: Callable[[], Config] | None = None
+) -> int:
+    """Serve until a signal stops it; return the exit code.  An error is printed as one line."""
     try:
-        asyncio.run(serve(read_config(), read_config_again or read_config))
-    except (ConfigError, OSError) as error:  # OSError: the address to listen on is in use or not ours
+        asyncio.run(serve(read_config(), read_config_on_reload or read_config))
+    except (ConfigError, OSError) as error:  # OSError: for example, the listening address is in use
         print(f"stalltiller: {error}", file=sys.stderr)
         return EXIT_USAGE
     return EXIT_OK
--- a/stalltiller/daemon/settings_reload.py
+++ b/stalltiller/daemon/settings_reload.py
@@ -1,7 +1,8 @@
-"""Changes the settings of a running initiator when its configuration is read again.
+"""Applies a reloaded configuration to a running initiator.
 
-Clients learn of other settings late, so settings change in two steps: at once to `transitional_settings`,
-by which requests of either are accepted under the stricter rules, and TRANSITION_SECONDS later in full.
+Clients are notified of new settings late, so these apply in two steps: first `transitional_settings`, which
+accept requests by the old or the new settings under the stricter rules, and the new settings
+TRANSITION_SECONDS later.
 """
 
 from __future__ import annotations
@@ -19,27 +20,29 @@
 from stalltiller.routing.engine import Engine
 from stalltiller.scheduling import DeduplicationScope, Idempotency, RequestClass, Settings
 
-TRANSITION_SECONDS = 1.5  # after SIGHUP, for which clients may still go by the settings before
+TRANSITION_SECONDS = 1.5  # after SIGHUP, clients may use the old settings for this long
 SCOPES_NARROWEST_FIRST = (DeduplicationScope.SHARD, DeduplicationScope.ZONE, DeduplicationScope.ALL)
 IDEMPOTENCY_STRICTEST_LAST = (Idempotency.SAFE, Idempotency.IDEMPOTENCY_KEY, Idempotency.UNSAFE)
 
 
-def merge_settings(old: Settings, new: Settings) -> Settings:
-    """Return the new settings, in which whether a class writes comes from the old class of that name.
+def preserve_write_flags(old: Settings, new: Settings) -> Settings:
+    """Return the new settings with `is_write` of each class taken from the old class of the same name.
 
-    Of classes without an old one it is unknown.  Guards against files that list by position which classes
-    write, and keep that list while the classes change places: every write would be taken for a read and
-    answered 400.
+    It is None for classes without an old one.  Guards against files that list by position which classes
+    write, and keep that list when the classes are reordered: every write would be treated as a read and
+    rejected with 400.
     """
-    writes = {cls.name: cls.is_write for cls in old.classes}
-    return replace(new, classes=tuple(replace(cls, is_write=writes.get(cls.name)) for cls in new.classes))
+    write_flags = {cls.name: cls.is_write for cls in old.classes}
+    return replace(
+        new, classes=tuple(replace(cls, is_write=write_flags.get(cls.name)) for cls in new.classes)
+    )
 
 
 def transitional_settings(old: Settings, new: Settings) -> Settings:
-    """Return settings with all classes and plans of both, and the stricter of each two rules.
+    """Return settings with all classes and plans of both, and the stricter of their rules.
 
-    Guards against rejecting what only one of them names, and against repeating a request that only the new
-    settings allow to be repeated while its client still goes by the old ones.
+    Guards against rejecting requests for a class or plan that only one of them has, and against retrying a
+    request that only the new settings allow to be retried while its client still uses the old ones.
     """
     new_classes = {cls.name: cls for cls in new.classes}
     classes = [_stricter_class(cls, new_classes.pop(cls.name, cls)) for cls in old.classes]
@@ -68,10 +71,10 @@
 
 
 class SettingsReloader:
-    """Reads the configuration again and applies what may change while the program runs.
+    """Reads the configuration again and applies the changes that are possible at run time.
 
-    The address of discovery and the settings may; the listening addresses, limits, the protocol and metrics
-    wait for the next start.
+    Discovery's address and the settings are applied; listening addresses, limits, the protocol and metrics
+    change only with a restart.
     """
 
     def __init__(
@@ -89,18 +92,18 @@
         self._discovery_watch = discovery_watch
         self._loop = loop
         self._log = log
-        self._transition: asyncio.TimerHandle | None = None  # until the last settings read apply in full
+        self._transition: asyncio.TimerHandle | None = None  # until the latest settings alone apply
 
     def reload(self, read_config: Callable[[], Config]) -> None:
         """Read the configuration and apply it; if that fails or a key is missing, nothing changes."""
         try:
-            config = self._read_complete(read_config)
+            config = self._read_complete_config(read_config)
         except ConfigError as error:
             self._log("reload_failed", error=str(error))
             return
         if (self.config.nvme is None) != (config.nvme is None):
-            config = replace(config, nvme=self.config.nvme)  # another protocol waits for the next start
-        config = replace(config, settings=merge_settings(self._engine.settings, config.settings))
+            config = replace(config, nvme=self.config.nvme)  # the protocol changes only with a restart
+        config = replace(config, settings=preserve_write_flags(self._engine.settings, config.settings))
         self._log(
             "reloaded",
             discovery=format_address(config.discovery),
@@ -108,14 +111,14 @@
         )
         self._change_settings(config)
         self.config = config
-        self._discovery_watch.move_to(config.discovery)
+        self._discovery_watch.change_address(config.discovery)
 
     def apply_settings(self, settings: Settings, mapping: Mapping | None = None) -> None:
-        """Use settings from now on, and the mapping of NVMe namespaces unless it is None."""
+        """Apply settings, and an NVMe mapping unless it is None."""
         self._engine.update_settings(settings)
         self._adapters.update_settings(settings, mapping)
 
-    def _read_complete(self, read_config: Callable[[], Config]) -> Config:
+    def _read_complete_config(self, read_config: Callable[[], Config]) -> Config:
         config = read_config()
         missing = sorted(self.config.required_keys - config.required_keys)
         if missing:
@@ -123,7 +126,7 @@
         return config
 
     def _change_settings(self, config: Config) -> None:
-        """Start the transition, also if one has not ended: then its settings never applied in full."""
+        """Start a transition if anything changed or the previous one, now cancelled, had not ended."""
         in_transition = self._transition is not None
         if self._transition is not None:
             self._transition.cancel()
