--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,7 +1,7 @@
-"""A toy discovery and two toy targets on loopback, to try stalltiller with.
+"""A toy discovery service and two toy targets on loopback, for trying out stalltiller.
 
-Discovery listens on 127.0.0.1:8500, as examples/config.json expects.  The targets store writes in memory and
-answer reads with them.  It needs the standard library alone.
+Discovery listens on 127.0.0.1:8500, the address in examples/config.json.  The targets store the bodies of
+writes in memory and return them for reads.  Only the standard library is needed.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 SERVICE_TIME_SECONDS = 0.02
 
 
-class Handler(BaseHTTPRequestHandler):
-    """What both toys share."""
+class BaseHandler(BaseHTTPRequestHandler):
+    """Sends responses for both servers."""
 
     protocol_version = "HTTP/1.1"
 
-    def send(self, status: int, body: bytes, **fields: str) -> None:
+    def respond(self, status: int, body: bytes, **fields: str) -> None:
         self.send_response(status)
         for name, value in fields.items():
             self.send_header(name.replace("_", "-"), value)
@@ -33,23 +33,23 @@
         """Log nothing."""
 
 
-class Target(Handler):
-    """Stores bodies by the last part of the path."""
+class TargetHandler(BaseHandler):
+    """Stores bodies under the last segment of the path."""
 
     def do_GET(self) -> None:
         time.sleep(SERVICE_TIME_SECONDS)
         key = self.path.rsplit("/", 1)[-1]
-        self.send(200, self.server.data.get(key, b"nothing yet\n"), X_Server_Load="TEXT mean_ms=20.0")
+        self.respond(200, self.server.bodies.get(key, b"nothing yet\n"), X_Server_Load="TEXT mean_ms=20.0")
 
     def do_PUT(self) -> None:
         time.sleep(SERVICE_TIME_SECONDS)
         body = self.rfile.read(int(self.headers["Content-Length"]))
-        self.server.data[self.path.rsplit("/", 1)[-1]] = body
-        self.send(200, b"kept\n")
+        self.server.bodies[self.path.rsplit("/", 1)[-1]] = body
+        self.respond(200, b"kept\n")
 
 
-class Discovery(Handler):
-    """Lists the targets; the list never changes, so a poll for changes lasts its full time."""
+class DiscoveryHandler(BaseHandler):
+    """Lists the targets; the list never changes, so a poll for changes is held for all of `wait_ms`."""
 
     def do_GET(self) -> None:
         query = parse_qs(urlsplit(self.path).query)
@@ -58,11 +58,11 @@
             time.sleep(int(query["wait_ms"][0]) / 1000)
             targets = []
         is_full = "after" not in query
-        self.send(200, json.dumps({"index": 1, "snapshot": is_full, "endpoints": targets}).encode())
+        self.respond(200, json.dumps({"index": 1, "snapshot": is_full, "endpoints": targets}).encode())
 
 
-def serve(port: int, handler: type[Handler], **attributes: object) -> ThreadingHTTPServer:
-    """Start a server in a thread of its own; handlers see `attributes` on it."""
+def serve(port: int, handler: type[BaseHandler], **attributes: object) -> ThreadingHTTPServer:
+    """Start a server in a new thread; handlers read `attributes` from their `server`."""
     server = ThreadingHTTPServer(("127.0.0.1", port), handler)
     server.daemon_threads = True
     vars(server).update(attributes)
@@ -73,7 +73,7 @@
 def main() -> None:
     targets = []
     for shard in range(2):
-        port = serve(0, Target, data={}).server_port
+        port = serve(0, TargetHandler, bodies={}).server_port
         targets.append(
             {
                 "name": f"s-{shard}",
@@ -86,7 +86,7 @@
                 "since_ms": 0,
             }
         )
-    serve(DISCOVERY_PORT, Discovery, targets=targets)
+    serve(DISCOVERY_PORT, DiscoveryHandler, targets=targets)
     addresses = ", ".join(target["address"] for target in targets)
     print(f"discovery on 127.0.0.1:{DISCOVERY_PORT}, targets on {addresses}", flush=True)
     threading.Event().wait()
--- a/stalltiller/protocol/__init__.py
+++ b/stalltiller/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Parsers and encoders of the protocols; they do no I/O and keep no time."""
+"""Parsers and encoders of the protocols; they do no I/O and read no clock."""
--- a/stalltiller/protocol/discovery.py
+++ b/stalltiller/protocol/discovery.py
@@ -1,7 +1,7 @@
-"""The discovery service's API: the path of its calls and its list of targets in JSON.
+"""The discovery service's API: the path of its requests and the target list in JSON.
 
-Parsers hold no state and do no I/O.  The list's fields are `index`, `snapshot` and `endpoints`, an endpoint's
-`name`, `address`, `zone`, `type`, `group`, `status`, `weight` and `since_ms`.
+Parsers hold no state and do no I/O.  The list has the fields `index`, `snapshot` and `endpoints`; an endpoint
+has `name`, `address`, `zone`, `type`, `group`, `status`, `weight` and `since_ms`.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 
 from stalltiller.scheduling import TargetStatus
 
-PATH = "/v1/servers"
+TARGET_LIST_PATH = "/v1/servers"
 STATES = {
     "active": TargetStatus.READY,
     "leaving": TargetStatus.DRAINING,
     "left": TargetStatus.REMOVED,
 }
-PORT_LIMIT = 65536  # TCP ports are below it
+PORT_LIMIT = 65536  # exclusive upper bound of TCP ports
 MILLISECONDS_PER_SECOND = 1000
 
 
 class DiscoveryError(Exception):
-    """A response that is not a list of targets."""
+    """A value that is not a valid target list."""
 
 
 @dataclass(slots=True, frozen=True)
 class TargetRecord:
-    """One target of the list; `started_at` is in seconds of Unix time, None if it is not stated."""
+    """One target of the list; `started_at` is Unix time in seconds, or None if the list does not state it."""
 
     name: str
     host: str
@@ -52,17 +52,17 @@
 
 
 def list_path(after: int | None, wait_ms: int) -> str:
-    """Return the path to call for the full list (None), or for changes after a version.
+    """Return the request path for the full list (`after` is None) or for changes after that version.
 
-    For changes discovery may hold the response for `wait_ms` milliseconds until there is one.
+    Discovery may hold a request for changes for up to `wait_ms` milliseconds until there is a change.
     """
-    return PATH if after is None else f"{PATH}?after={after}&wait_ms={wait_ms}"
+    return TARGET_LIST_PATH if after is None else f"{TARGET_LIST_PATH}?after={after}&wait_ms={wait_ms}"
 
 
 def parse_address(text: object, min_port: int = 1) -> tuple[str, int]:
-    """Split HOST:PORT; a `min_port` of 0 admits port 0, with which the system chooses one to listen on.
+    """Split HOST:PORT; raises ValueError if the text is malformed or the port is out of range.
 
-    Raises ValueError if the text is no address.
+    A `min_port` of 0 allows port 0, for which the system chooses a port to listen on.
     """
     host, _, port = str(text).rpartition(":")
     is_number = port.isascii() and port.isdigit()
@@ -71,37 +71,37 @@
     return host, int(port)
 
 
-def _parse_target(line: dict[str, Any]) -> TargetRecord:
-    host, port = parse_address(line["address"])
-    since_ms = float(line.get("since_ms") or 0)
+def _parse_target(endpoint: dict[str, Any]) -> TargetRecord:
+    host, port = parse_address(endpoint["address"])
+    since_ms = float(endpoint.get("since_ms") or 0)
     return TargetRecord(
-        name=str(line["name"]),
+        name=str(endpoint["name"]),
         host=host,
         port=port,
-        zone=str(line.get("zone", "")),
-        kind=str(line.get("type", "")),
-        shard=int(line["group"]),
-        status=STATES[line["status"]],
-        weight=float(line.get("weight", 1.0)),
+        zone=str(endpoint.get("zone", "")),
+        kind=str(endpoint.get("type", "")),
+        shard=int(endpoint["group"]),
+        status=STATES[endpoint["status"]],
+        weight=float(endpoint.get("weight", 1.0)),
         started_at=since_ms / MILLISECONDS_PER_SECOND if since_ms > 0 else None,
     )
 
 
 def parse_target_list_value(value: Any) -> TargetList:
-    """Read a list from parsed JSON; raises DiscoveryError if it is not a list of targets."""
+    """Convert decoded JSON to a target list; raises DiscoveryError if it is malformed."""
     try:
         return TargetList(
             version=int(value["index"]),
             is_full=value["snapshot"] is True,
-            targets=tuple(_parse_target(line) for line in value["endpoints"]),
+            targets=tuple(_parse_target(endpoint) for endpoint in value["endpoints"]),
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise DiscoveryError(f"not a list of targets: {type(error).__name__}: {error}") from error
+        raise DiscoveryError(f"malformed target list: {type(error).__name__}: {error}") from error
 
 
 def parse_target_list(body: bytes) -> TargetList:
-    """Read a response's body; raises DiscoveryError if it is not a list of targets."""
+    """Parse a response's body; raises DiscoveryError if it is not a valid target list."""
     try:
         return parse_target_list_value(orjson.loads(body))
     except orjson.JSONDecodeError as error:
-        raise DiscoveryError(f"not JSON: {error}") from error
+        raise DiscoveryError(f"target list is not valid JSON: {error}") from error
--- a/stalltiller/protocol/http.py
+++ b/stalltiller/protocol/http.py
@@ -1,6 +1,7 @@
-"""HTTP/1.1 messages: heads, and bodies by length, by chunks or until the connection ends (RFC 9112).
+"""HTTP/1.1 messages: heads, and bodies with a length, in chunks or up to the connection's end (RFC 9112).
 
-Every size is limited.  `Reader` is incremental: its owner feeds it bytes as they arrive.
+Every size is limited, that of a head by the connection's buffer.  `Reader` is incremental: its owner feeds it
+bytes as they arrive.
 """
 
 from __future__ import annotations
@@ -9,24 +10,25 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-MAX_BODY = 32 * 1024 * 1024  # bytes of the body of a request, and of a response
-MAX_ANSWER = 1024 * 1024  # bytes of a response that is needed as a whole, as discovery's list
-MAX_LENGTH_DIGITS = 9  # of a Content-Length: far above MAX_BODY, and cheap to convert
-MAX_CHUNK_LINE = 1024  # bytes of a chunk's size line or of a trailer field
-MAX_INTERIM = 16  # interim responses before the final one
-MAX_TRAILERS = 64  # lines
+MAX_BODY_BYTES = 32 * 1024 * 1024  # applies to requests and to responses
+MAX_ANSWER = 1024 * 1024  # bytes; applies to responses that are parsed as a whole, such as the target list
+MAX_CONTENT_LENGTH_DIGITS = 9  # cheap to convert, and enough for far more than MAX_BODY_BYTES
+MAX_CHUNK_LINE_BYTES = 1024  # applies to chunk size lines and trailer fields, including the line end
+MAX_INTERIM_RESPONSES = 16
+MAX_TRAILER_LINES = 64  # includes the empty line that ends the trailer section
 TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
-TARGET = re.compile(r"[!-~]+")
-VERSION = re.compile(r"HTTP/1\.[01]")
+REQUEST_TARGET = re.compile(r"[!-~]+")
+HTTP_VERSION = re.compile(r"HTTP/1\.[01]")
 STATUS_LINE = re.compile(r"HTTP/1\.([01]) ([1-5][0-9]{2})(?: [^\r\n]*)?")
 CHUNK_SIZE = re.compile(rb"[0-9A-Fa-f]{1,8}")
-ONCE = ("content-length", "transfer-encoding", "host")  # fields that decide on framing or routing
-VALUE = re.compile(r"[\t -~\x80-\xff]*")
+# Fields that must not be repeated, because framing or routing depends on them.
+SINGLETON_FIELDS = ("content-length", "transfer-encoding", "host")
+FIELD_VALUE = re.compile(r"[\t -~\x80-\xff]*")
 LINE_END = b"\r\n"
 HEAD_END = b"\r\n\r\n"
 STATUS_SWITCHING_PROTOCOLS = 101
 BODYLESS_STATUSES = (204, 304)
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -42,7 +44,7 @@
 
 
 class HttpError(Exception):
-    """A malformed or too large message; `status` is the status with which a server responds to it."""
+    """A malformed or oversized message; `status` is the status code of a server's response to it."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -51,9 +53,9 @@
 
 @dataclass(slots=True)
 class Head:
-    """A message's first line and its fields by lower-case name.
+    """A message's first line, and its fields by lower-case name.
 
-    `minor` is the minor version; requests have a method and a target, responses a status.
+    `minor` is the minor HTTP version; requests have a method and a target, responses have a status.
     """
 
     minor: int
@@ -63,11 +65,11 @@
     status: int = 0
 
     def expects_continue(self) -> bool:
-        """Whether the client waits for an interim response before it sends the body."""
+        """Return whether the client waits for an interim response before it sends the body."""
         return self.minor == 1 and self.fields.get("expect", "").lower() == "100-continue"
 
     def keeps_alive(self) -> bool:
-        """Whether the sender keeps the connection open after this message (RFC 9112, section 9.3)."""
+        """Return whether the sender keeps the connection open after this message (RFC 9112, section 9.3)."""
         options = {option.strip().lower() for option in self.fields.get("connection", "").split(",")}
         return "close" not in options and (self.minor == 1 or "keep-alive" in options)
 
@@ -76,10 +78,10 @@
 
 
 def parse_fields(lines: list[str], lenient: bool = False) -> dict[str, str]:
-    """Parse field lines by lower-case name; raises HttpError with status 400 on a malformed one.
+    """Return the fields by lower-case name; raises HttpError with status 400 on a malformed line.
 
-    With `lenient` a field whose value contains control characters is omitted.  Guards against discarding a
-    good response for a load report that can't be read.
+    With `lenient` a field whose value contains control characters is omitted if framing does not depend on
+    it, so that a malformed load report does not invalidate a response.
     """
     fields: dict[str, str] = {}
     for line in lines:
@@ -88,12 +90,12 @@
         if not colon or not TOKEN.fullmatch(name):
             raise HttpError(400, "malformed field line")
         name = name.lower()
-        if not VALUE.fullmatch(value):
+        if not FIELD_VALUE.fullmatch(value):
             if lenient and _may_omit(name, value):
                 continue
             raise HttpError(400, "malformed field line")
         if name in fields:
-            if name in ONCE:
+            if name in SINGLETON_FIELDS:
                 raise HttpError(400, f"{name} given twice")
             value = f"{fields[name]}, {value}"
         fields[name] = value
@@ -101,8 +103,8 @@
 
 
 def _may_omit(name: str, value: str) -> bool:
-    """Whether a field with a malformed value may be omitted: it must not affect the message's framing."""
-    return name not in (*ONCE, "connection") and not set(value) & {"\r", "\n"}
+    """Return whether a field with a malformed value may be omitted: it must not affect framing."""
+    return name not in (*SINGLETON_FIELDS, "connection") and not set(value) & {"\r", "\n"}
 
 
 def parse_request(text: str) -> Head:
@@ -112,8 +114,8 @@
     if (
         len(parts) != 3
         or not TOKEN.fullmatch(parts[0])
-        or not TARGET.fullmatch(parts[1])
-        or not VERSION.fullmatch(parts[2])
+        or not REQUEST_TARGET.fullmatch(parts[1])
+        or not HTTP_VERSION.fullmatch(parts[2])
     ):
         raise HttpError(400, "malformed request line")
     method, target, version = parts
@@ -134,23 +136,23 @@
 
 @dataclass(slots=True)
 class Reader:
-    """Reads messages one after another; `done` states that `head` and `body` are complete.
+    """Reads consecutive messages; `done` is true once `head` and `body` are complete.
 
-    Between messages `reset` must be called.  Malformed and too large messages raise HttpError; the reader is
-    of no use after that.
+    `reset` must be called between messages.  Malformed and oversized messages raise HttpError, after which
+    the reader must not be used.
     """
 
-    response: bool  # whether responses are read, or requests
-    limit: int = MAX_BODY  # bytes of the body
+    response: bool  # true: reads responses; false: reads requests
+    limit: int = MAX_BODY_BYTES  # maximum size of the body, in bytes
     head: Head | None = None
     body: bytearray = field(default_factory=bytearray)
     done: bool = False
-    length: int | None = None  # bytes of the body, if the head states it
-    bytes_received: int = 0  # of the body so far
-    _bytes_remaining: int = 0  # of the body, or of the current chunk
-    _line_count: int = 0  # interim responses or trailer lines so far
-    # The state of parsing: the method that reads what comes next.  It returns how many bytes it consumed,
-    # or 0 if it needs more.  An enumeration would have to be mapped to methods for every chunk.
+    length: int | None = None  # size of the body in bytes, if the head states it
+    bytes_received: int = 0  # counts the body only
+    _bytes_remaining: int = 0  # left to read of a fixed-length body or of the current chunk
+    _item_count: int = 0  # interim responses and trailer lines received
+    # The parser's state: the method that reads the next element.  It returns the number of bytes consumed, or
+    # 0 if it needs more.  An enumeration would need a lookup of the method for every chunk.
     _read_next: Callable[[Reader, memoryview], int] = field(init=False, repr=False)
 
     def __post_init__(self) -> None:
@@ -165,23 +167,23 @@
         self.bytes_received = 0
         self._bytes_remaining = 0
         self._read_next = Reader._read_head
-        self._line_count = 0
+        self._item_count = 0
 
     def drain(self) -> bytes:
-        """Remove and return the bytes of the body received since the last call."""
+        """Remove and return the bytes of the body that arrived since the last call."""
         received = bytes(self.body)
         self.body.clear()
         return received
 
     @property
     def begun(self) -> bool:
-        """Whether the head is complete."""
+        """Return whether the head is complete."""
         return self.head is not None
 
     def feed(self, data: memoryview) -> int:
-        """Consume bytes up to the end of the message and return how many.
+        """Consume bytes up to the end of the message and return their number.
 
-        The others must be presented again, with those that follow them.
+        Bytes that are not consumed must be passed again, together with those that follow them.
         """
         consumed = 0
         while not self.done and consumed < len(data):
@@ -192,7 +194,7 @@
         return consumed
 
     def finish(self) -> bool:
-        """Note that the sender has ended the connection; return whether the message is complete."""
+        """Handle the end of the connection; return whether the message is complete."""
         if self._read_next is Reader._read_body_until_close and not self.done:
             self.done = True
         return self.done
@@ -214,19 +216,19 @@
         return head_length + len(HEAD_END)
 
     def _skip_interim_response(self, head: Head) -> None:
-        """Wait for the final response; an error leaves `head`, because the target has responded."""
-        self._count_line(MAX_INTERIM, "interim answers without end")
+        """Discard an interim response; on an error `head` stays set, because the target has responded."""
+        self._count_item(MAX_INTERIM_RESPONSES, "interim answers without end")
         if head.status == STATUS_SWITCHING_PROTOCOLS:
-            raise HttpError(502, "a switch of protocols that nobody asked for")
+            raise HttpError(502, "unexpected status 101: no protocol switch was requested")
         self.head = None
 
-    def _count_line(self, max_lines: int, text: str) -> None:
-        self._line_count += 1
-        if self._line_count > max_lines:
+    def _count_item(self, max_items: int, text: str) -> None:
+        self._item_count += 1
+        if self._item_count > max_items:
             raise HttpError(400, text)
 
     def _determine_framing(self, head: Head) -> None:
-        """Determine from the head how the body's end is found (RFC 9112, section 6.3)."""
+        """Determine from the head where the body ends (RFC 9112, section 6.3)."""
         coding = head.fields.get("transfer-encoding")
         length = head.fields.get("content-length")
         if coding is not None:
@@ -236,8 +238,8 @@
         elif length is not None:
             self._start_fixed_length_body(length)
         elif self.response and head.status not in BODYLESS_STATUSES:
-            if head.keeps_alive():  # the body's end could not be found
-                raise HttpError(502, "no length on a connection that stays open")
+            if head.keeps_alive():  # nothing would mark the body's end
+                raise HttpError(502, "response without a body length on a persistent connection")
             self._read_next = Reader._read_body_until_close
         else:
             self.done = True
@@ -245,7 +247,7 @@
     def _start_fixed_length_body(self, length_text: str) -> None:
         if not length_text.isascii() or not length_text.isdigit():
             raise HttpError(400, "malformed content length")
-        if len(length_text) > MAX_LENGTH_DIGITS or int(length_text) > self.limit:
+        if len(length_text) > MAX_CONTENT_LENGTH_DIGITS or int(length_text) > self.limit:
             raise HttpError(413, "body over the limit")
         self.length = int(length_text)
         self._bytes_remaining = self.length
@@ -273,10 +275,10 @@
 
     @staticmethod
     def _find_line(data: memoryview) -> bytes | None:
-        """Return the first line without its end, or None if it is incomplete."""
-        raw = bytes(data[:MAX_CHUNK_LINE])
+        """Return the first line without its CRLF, or None if it is incomplete."""
+        raw = bytes(data[:MAX_CHUNK_LINE_BYTES])
         line_length = raw.find(LINE_END)
-        if line_length < 0 and len(raw) == MAX_CHUNK_LINE:
+        if line_length < 0 and len(raw) == MAX_CHUNK_LINE_BYTES:
             raise HttpError(400, "chunk line over the limit")
         return raw[:line_length] if line_length >= 0 else None
 
@@ -308,7 +310,7 @@
         if line is None:
             return 0
         self.done = not line
-        self._count_line(MAX_TRAILERS, "trailer without end")
+        self._count_item(MAX_TRAILER_LINES, "trailer without end")
         return len(line) + len(LINE_END)
 
 
@@ -321,14 +323,14 @@
 
 
 def encode_request(method: str, target: str, fields: dict[str, str], body: bytes) -> bytes:
-    """Encode a whole request."""
+    """Encode a request with its body."""
     return request_head(method, target, fields, len(body)) + body
 
 
 def encode_response(
     status: int, body: bytes = b"", fields: dict[str, str] | None = None, close: bool = False
 ) -> bytes:
-    """Encode a whole response; with `close` it states that the connection ends."""
+    """Encode a response with its body; `close` adds the field `Connection: close`."""
     return response_head(status, len(body), fields, close) + body
 
 
@@ -339,8 +341,8 @@
     close: bool = False,
     chunked: bool = False,
 ) -> bytes:
-    """Encode a response's head; without a length the body is chunked or ends with the connection."""
-    lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}"]
+    """Encode a response's head; a body without a length is chunked or ends with the connection."""
+    lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Unknown')}"]
     if length is not None:
         lines.append(f"Content-Length: {length}")
     elif chunked:
@@ -356,5 +358,5 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """Encode a chunk of a chunked body; it must not be empty, which would end the body."""
+    """Encode a chunk of a chunked body; `data` must not be empty, since an empty chunk ends the body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/stalltiller/protocol/metrics.py
+++ b/stalltiller/protocol/metrics.py
@@ -1,7 +1,7 @@
 """Encoders of metrics: Graphite's plaintext protocol and collectd's binary network protocol.
 
-collectd's packets are a sequence of parts, each with a type, a length and a value.  Numbers are big-endian,
-but a gauge's value is little-endian.  A value part applies to the host, plugin and type parts before it.
+A collectd packet is a sequence of parts, each with a type, a length and a value.  Numbers are big-endian, but
+a gauge's value is little-endian.  A value part belongs to the host, plugin and type parts before it.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 import struct
 from collections.abc import Mapping
 
-MAX_PACKET = 1452  # bytes: collectd's own default, which fits an Ethernet frame
-MAX_TEXT_BYTES = 63  # collectd's names have 64 bytes with the terminating zero
+MAX_PACKET_BYTES = 1452  # collectd's default packet size, which fits into an Ethernet frame
+MAX_TEXT_BYTES = 63  # collectd stores names in 64 bytes, including the terminating zero
 
 # Part types of collectd's binary protocol.
 HOST = 0
@@ -63,21 +63,21 @@
 def collectd_packets(
     instance: str, sample: Mapping[str, float], gauges: frozenset[str], now: float, interval: float
 ) -> list[bytes]:
-    """Encode a sample as packets of at most MAX_PACKET bytes, each complete in itself.
+    """Encode a sample as packets of at most MAX_PACKET_BYTES bytes that can be decoded independently.
 
-    Metrics named in `gauges` are gauges, the others counters (derive); `interval` is in seconds.
+    Metrics named in `gauges` are gauges, the others are counters (derive); `interval` is in seconds.
     """
-    head = (
+    header = (
         _text_part(HOST, instance)
         + _number_part(TIME, int(now))
         + _number_part(INTERVAL, max(1, round(interval)))
         + _text_part(PLUGIN, "stalltiller")
         + _text_part(PLUGIN_INSTANCE, instance)
     )
-    packets = [head]
+    packets = [header]
     for name, value in sample.items():
         encoded = _value_parts(name, value, name in gauges)
-        if len(packets[-1]) + len(encoded) > MAX_PACKET:
-            packets.append(head)
+        if len(packets[-1]) + len(encoded) > MAX_PACKET_BYTES:
+            packets.append(header)
         packets[-1] += encoded
     return packets
--- a/stalltiller/protocol/platform.py
+++ b/stalltiller/protocol/platform.py
@@ -1,6 +1,6 @@
 """The platform's HTTP fields on requests and on targets' responses.
 
-Readers are built from the settings and hold no other state.
+The parsers are built from the settings and hold no other state.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 REQUEST_ID = re.compile(r"[!-~]{1,128}")
 READ_METHOD = "GET"
 WRITE_METHOD = "PUT"
-REPORT_FORMAT = "TEXT"
-REJECTION_STATUSES = (503, 504)  # with X-Not-Processed the target did not execute the request
-MAX_SHARD = 1 << 20  # far above any shard: a request that names a higher one is wrong
+LOAD_REPORT_FORMAT = "TEXT"
+REJECTION_STATUSES = (503, 504)  # with X-Not-Processed: 1, the target did not execute the request
+MAX_SHARD = 1 << 20  # far above any real shard; requests for a higher one are rejected
 
 
 class FieldError(Exception):
-    """A field that is missing or wrong; the request is not accepted."""
+    """A field of a request is missing or invalid; the request is rejected."""
 
 
 @dataclass(slots=True, frozen=True)
 class RequestInfo:
-    """What a request's fields state.
+    """The parsed fields of a request.
 
-    `timeout` is in seconds from when the client sent it; `shard` is None for a new object.
+    `timeout` is in seconds from the time at which the client sent it; `shard` is None for a new object.
     """
 
     class_index: int
@@ -64,15 +64,15 @@
 
 
 def _parse_pairs(text: str) -> dict[str, str]:
-    """Split `name=value, ...`; of a name given twice the last value counts."""
+    """Split `name=value, ...`; the last value of a repeated name is used."""
     return dict(pair.strip().partition("=")[::2] for pair in text.split(","))
 
 
 class RequestFields:
-    """Parses the fields of requests by the classes and plans of the settings.
+    """Parses the fields of requests according to the classes and plans of the settings.
 
-    Values that the settings rule out are wrong, too.  Guards against figures that would affect the volume
-    they name: a million initiators leave it no share of its limit, a million units fill its demand for a
+    Values beyond the bounds of the settings are rejected, because they would affect the request's volume: a
+    million initiators leave it no share of its limit, a million units dominate its measured demand for a
     minute.
     """
 
@@ -85,7 +85,7 @@
         self._methods = [_allowed_methods(cls.is_write) for cls in settings.classes]
 
     def parse(self, head: Head, body: bytes | bytearray) -> RequestInfo:
-        """Parse a request's fields; raises FieldError on the first that is missing or wrong."""
+        """Parse a request's fields; raises FieldError for the first that is missing or invalid."""
         class_index, key_text = self._parse_path(head, body)
         plan_index = self._plan_indexes.get(head.fields.get("tier", ""))
         if plan_index is None:
@@ -112,7 +112,7 @@
         )
 
     def _parse_path(self, head: Head, body: bytes | bytearray) -> tuple[int, str]:
-        """Return the index of the class and the text of the key from /CLASS/.../KEY."""
+        """Return the class index and the unparsed key from a path of the form /CLASS/.../KEY."""
         path = head.target.partition("?")[0]
         parts = path.split("/")
         if len(parts) < 3 or parts[0]:
@@ -128,18 +128,18 @@
 
 
 def _allowed_methods(is_write: bool | None) -> tuple[str, ...]:
-    """Return the methods of a class; None: each request states by its method whether it writes."""
+    """Return the methods of a class; with `is_write` None, the method states whether a request writes."""
     if is_write is None:
         return (READ_METHOD, WRITE_METHOD)
     return (WRITE_METHOD,) if is_write else (READ_METHOD,)
 
 
 @dataclass(slots=True, frozen=True)
-class AnswerInfo:
-    """What a target's response states beside its body.
+class ResponseInfo:
+    """The status and the parsed fields of a target's response.
 
-    `other_units` is the volume's use by other initiators, `report` the target's load figures in the order of
-    the settings; 0 and empty if they are not stated.
+    `other_units` counts the units served for the volume through other initiators (0 if absent); `report` has
+    the values of the target's load report in the order of the settings (empty if absent).
     """
 
     status: AttemptStatus
@@ -153,8 +153,8 @@
     def __init__(self, settings: Settings) -> None:
         self._report_fields = settings.report_fields if settings.reports_in_answers else ()
 
-    def parse(self, head: Head) -> AnswerInfo:
-        """Parse a response's fields; malformed ones count as absent."""
+    def parse(self, head: Head) -> ResponseInfo:
+        """Parse a response's fields; malformed ones are treated as absent."""
         if head.status == 200:
             status = AttemptStatus.OK
         elif head.status in REJECTION_STATUSES and head.fields.get("x-not-processed") == "1":
@@ -162,15 +162,15 @@
         else:
             status = AttemptStatus.ERROR
         other_units = head.fields.get("other-hosts", "")
-        return AnswerInfo(
+        return ResponseInfo(
             status=status,
             other_units=float(other_units) if DECIMAL.fullmatch(other_units) else 0.0,
-            report=self._parse_report(head.fields.get("x-server-load", "")),
+            report=self._parse_load_report(head.fields.get("x-server-load", "")),
         )
 
-    def _parse_report(self, text: str) -> tuple[float, ...]:
+    def _parse_load_report(self, text: str) -> tuple[float, ...]:
         report_format, _, pairs = text.partition(" ")
-        if report_format != REPORT_FORMAT or not self._report_fields:
+        if report_format != LOAD_REPORT_FORMAT or not self._report_fields:
             return ()
         values = _parse_pairs(pairs)
         try:
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Tables of cases for the parsers.  Wire bytes are written out, not made by the encoders."""
+"""Table tests of the parsers.  Wire bytes are written as literals, independent of the encoders."""
 
 from __future__ import annotations
 
@@ -23,53 +23,63 @@
 )
 
 
-def feed(data: bytes, response: bool, step: int = 1 << 20) -> http.Reader:
-    """Feed in pieces as a connection does: what is not taken is shown again with more."""
-    reader, kept = http.Reader(response=response), b""
-    for at in range(0, len(data), step):
-        kept += data[at : at + step]
-        while kept and (used := reader.feed(memoryview(kept))):
-            kept = kept[used:]
+def read_message(data: bytes, response: bool, step: int = 1 << 20) -> http.Reader:
+    """Feed `data` in pieces as a connection does: bytes not consumed are passed again with the next piece."""
+    reader = http.Reader(response=response)
+    unread = b""
+    for offset in range(0, len(data), step):
+        unread += data[offset : offset + step]
+        while unread and (consumed := reader.feed(memoryview(unread))):
+            unread = unread[consumed:]
     return reader
 
 
-HEAD = b"GET /read/1?x=2 HTTP/1.1\r\nHost: h\r\n"
-OK = b"HTTP/1.1 200 OK\r\n"
+REQUEST_HEAD = b"GET /read/1?x=2 HTTP/1.1\r\nHost: h\r\n"
+OK_STATUS_LINE = b"HTTP/1.1 200 OK\r\n"
 
 
 @pytest.mark.parametrize("step", [1, 7, 1 << 20])
 @pytest.mark.parametrize(
     ("data", "response", "body"),
     [
-        (HEAD + b"\r\n", False, b""),
-        (b"\r\n" + HEAD + b"\r\n", False, b""),
-        (HEAD + b"Content-Length: 3\r\n\r\nabc", False, b"abc"),
+        (REQUEST_HEAD + b"\r\n", False, b""),
+        (b"\r\n" + REQUEST_HEAD + b"\r\n", False, b""),
+        (REQUEST_HEAD + b"Content-Length: 3\r\n\r\nabc", False, b"abc"),
         (
-            HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1;x=y\r\nc\r\n0\r\nT: v\r\n\r\n",
+            REQUEST_HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1;x=y\r\nc\r\n0\r\nT: v\r\n\r\n",
             False,
             b"abc",
         ),
-        (OK + b"Content-Length: 2\r\n\r\nhi", True, b"hi"),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK + b"content-length:  2 \r\n\r\nhi", True, b"hi"),
-        (OK + b"Transfer-Encoding: Chunked\r\n\r\nA\r\n0123456789\r\n0\r\n\r\n", True, b"0123456789"),
+        (OK_STATUS_LINE + b"Content-Length: 2\r\n\r\nhi", True, b"hi"),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK_STATUS_LINE + b"content-length:  2 \r\n\r\nhi", True, b"hi"),
+        (
+            OK_STATUS_LINE + b"Transfer-Encoding: Chunked\r\n\r\nA\r\n0123456789\r\n0\r\n\r\n",
+            True,
+            b"0123456789",
+        ),
         (b"HTTP/1.1 204 No Content\r\n\r\n", True, b""),
     ],
 )
-def test_complete_messages(data, response, body, step):
-    reader = feed(data, response, step)
+def test_complete_messages_are_parsed(data, response, body, step):
+    reader = read_message(data, response, step)
     assert reader.done and bytes(reader.body) == body
 
 
-def test_a_body_without_length_ends_with_the_connection():
-    reader = feed(OK + b"Connection: close\r\n\r\nhal", True)
+def test_a_body_without_a_length_ends_with_the_connection():
+    reader = read_message(OK_STATUS_LINE + b"Connection: close\r\n\r\nhal", True)
     assert not reader.done and reader.finish() and bytes(reader.body) == b"hal"
 
 
 @pytest.mark.parametrize(
-    "data", [OK, OK + b"Content-Length: 5\r\n\r\nabc", OK + b"Transfer-Encoding: chunked\r\n\r\n5\r\nab"]
+    "data",
+    [
+        OK_STATUS_LINE,
+        OK_STATUS_LINE + b"Content-Length: 5\r\n\r\nabc",
+        OK_STATUS_LINE + b"Transfer-Encoding: chunked\r\n\r\n5\r\nab",
+    ],
 )
 def test_a_truncated_message_is_not_complete(data):
-    reader = feed(data, True)
+    reader = read_message(data, True)
     assert not reader.finish()
 
 
@@ -80,29 +90,29 @@
         (b"GET / HTTP/2.0\r\nHost: h\r\n\r\n", False, 400),
         (b"GET  / HTTP/1.1\r\nHost: h\r\n\r\n", False, 400),
         (b"GET / HTTP/1.1\r\n\r\n", False, 400),
-        (HEAD + b"Host: again\r\n\r\n", False, 400),
-        (HEAD + b"bad name: 1\r\n\r\n", False, 400),
-        (HEAD + b" folded: 1\r\n\r\n", False, 400),
-        (HEAD + b"no colon\r\n\r\n", False, 400),
-        (HEAD + b"A: \x00\r\n\r\n", False, 400),
-        (HEAD + b"Content-Length: -1\r\n\r\n", False, 400),
-        (HEAD + b"Content-Length: 1, 1\r\n\r\n", False, 400),
-        (HEAD + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\n", False, 400),
-        (HEAD + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", False, 400),
-        (HEAD + b"Transfer-Encoding: gzip\r\n\r\n", False, 400),
-        (HEAD + b"Content-Length: 33554433\r\n\r\n", False, 413),
-        (HEAD + b"Content-Length: 99999999999999999999\r\n\r\n", False, 413),
-        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n2000001\r\n", False, 413),
-        (HEAD + b"Transfer-Encoding: chunked\r\n\r\nxyz\r\n", False, 400),
-        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n1\r\nabc", False, 400),
-        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"1" * 2000, False, 400),
+        (REQUEST_HEAD + b"Host: again\r\n\r\n", False, 400),
+        (REQUEST_HEAD + b"bad name: 1\r\n\r\n", False, 400),
+        (REQUEST_HEAD + b" folded: 1\r\n\r\n", False, 400),
+        (REQUEST_HEAD + b"no colon\r\n\r\n", False, 400),
+        (REQUEST_HEAD + b"A: \x00\r\n\r\n", False, 400),
+        (REQUEST_HEAD + b"Content-Length: -1\r\n\r\n", False, 400),
+        (REQUEST_HEAD + b"Content-Length: 1, 1\r\n\r\n", False, 400),
+        (REQUEST_HEAD + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\n", False, 400),
+        (REQUEST_HEAD + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", False, 400),
+        (REQUEST_HEAD + b"Transfer-Encoding: gzip\r\n\r\n", False, 400),
+        (REQUEST_HEAD + b"Content-Length: 33554433\r\n\r\n", False, 413),
+        (REQUEST_HEAD + b"Content-Length: 99999999999999999999\r\n\r\n", False, 413),
+        (REQUEST_HEAD + b"Transfer-Encoding: chunked\r\n\r\n2000001\r\n", False, 413),
+        (REQUEST_HEAD + b"Transfer-Encoding: chunked\r\n\r\nxyz\r\n", False, 400),
+        (REQUEST_HEAD + b"Transfer-Encoding: chunked\r\n\r\n1\r\nabc", False, 400),
+        (REQUEST_HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"1" * 2000, False, 400),
         (b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", False, 400),
-        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n0\r\n" + b"a: b\r\n" * 100, False, 400),
+        (REQUEST_HEAD + b"Transfer-Encoding: chunked\r\n\r\n0\r\n" + b"a: b\r\n" * 100, False, 400),
         (b"HTTP/1.1 20 OK\r\n\r\n", True, 502),
-        (OK + b"\r\nno length", True, 502),
-        (OK + b"A: \n\r\n\r\n", True, 400),
-        (OK + b"Content-Length: \x00\r\n\r\n", True, 400),
-        (OK + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", True, 400),
+        (OK_STATUS_LINE + b"\r\nno length", True, 502),
+        (OK_STATUS_LINE + b"A: \n\r\n\r\n", True, 400),
+        (OK_STATUS_LINE + b"Content-Length: \x00\r\n\r\n", True, 400),
+        (OK_STATUS_LINE + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", True, 400),
         (b"HTTP/1.1 101 Go\r\n\r\n", True, 502),
         (b"HTTP/1.1 102 Wait\r\n\r\n" * 17, True, 400),
         (b"ICY 200 OK\r\n\r\n", True, 502),
@@ -110,20 +120,22 @@
 )
 def test_malformed_messages_are_rejected(data, response, status):
     with pytest.raises(http.HttpError) as caught:
-        feed(data, response)
+        read_message(data, response)
     assert caught.value.status == status
 
 
 def test_a_malformed_value_in_a_response_is_omitted_and_interim_responses_are_ignored():
-    reader = feed(
-        b"HTTP/1.1 103 Hints\r\n\r\n" * 16 + OK + b"X-Server-Load: \x00\x07\r\nContent-Length: 2\r\n\r\nok",
+    reader = read_message(
+        b"HTTP/1.1 103 Hints\r\n\r\n" * 16
+        + OK_STATUS_LINE
+        + b"X-Server-Load: \x00\x07\r\nContent-Length: 2\r\n\r\nok",
         True,
     )
     assert reader.done and (reader.head.fields, bytes(reader.body)) == ({"content-length": "2"}, b"ok")
 
 
 @pytest.mark.parametrize(
-    ("minor", "connection", "keeps"),
+    ("minor", "connection", "is_kept_alive"),
     [
         (1, "", True),
         (1, "close", False),
@@ -132,11 +144,11 @@
         (0, "keep-alive", True),
     ],
 )
-def test_connection_persistence(minor, connection, keeps):
-    assert http.Head(minor, {"connection": connection}).keeps_alive() is keeps
+def test_keeps_alive_follows_the_version_and_the_connection_field(minor, connection, is_kept_alive):
+    assert http.Head(minor, {"connection": connection}).keeps_alive() is is_kept_alive
 
 
-FIELDS = {
+REQUEST_FIELDS = {
     "tier": "gold",
     "x-request-id": "9b1f",
     "x-timeout": "0.480",
@@ -145,18 +157,18 @@
 
 
 def parse_request_fields(method="GET", target="/read/7f3a", body=b"", **changes):
-    fields = {name: value for name, value in {**FIELDS, **changes}.items() if value is not None}
+    fields = {name: value for name, value in {**REQUEST_FIELDS, **changes}.items() if value is not None}
     return platform.RequestFields(SETTINGS).parse(http.Head(1, fields, method, target), body)
 
 
-def test_request_fields():
+def test_request_fields_are_parsed():
     assert parse_request_fields() == platform.RequestInfo(0, 0, 0x3B4D60021, 2.0, 3, 0x7F3A, 5, False, 0.48)
     assert parse_request_fields("PUT", "/write/a/b/1f?q=1", b"x", **{"x-retried": "1"}).is_retry
     assert parse_request_fields(**{"io-info": "volume=1, units=1.5, shard=-1, hosts=1"}).shard is None
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid_input",
     [
         {"method": "PUT"},
         {"method": "POST"},
@@ -186,9 +198,9 @@
         {"io-info": "volume=1,units=inf,shard=1,hosts=1"},
     ],
 )
-def test_wrong_request_fields_are_rejected(wrong):
+def test_missing_and_invalid_request_fields_are_rejected(invalid_input):
     with pytest.raises(platform.FieldError):
-        parse_request_fields(**wrong)
+        parse_request_fields(**invalid_input)
 
 
 @pytest.mark.parametrize(
@@ -208,26 +220,30 @@
         (404, {}, (AttemptStatus.ERROR, 0.0, ())),
     ],
 )
-def test_response_fields(status, fields, expected):
-    found = platform.AnswerFields(SETTINGS).parse(http.Head(1, fields, status=status))
-    assert found == platform.AnswerInfo(*expected)
+def test_response_fields_are_parsed(status, fields, expected):
+    info = platform.AnswerFields(SETTINGS).parse(http.Head(1, fields, status=status))
+    assert info == platform.ResponseInfo(*expected)
 
 
-LINE = (
+ENDPOINT = (
     b'{"name":"s-1","address":"10.1.0.18:3000","zone":"a","type":"m2","group":3,"status":"leaving",'
     b'"weight":1.5,"since_ms":%d}'
 )
 
 
-def test_target_list():
-    found = discovery.parse_target_list(b'{"index":41,"snapshot":true,"endpoints":[%s]}' % (LINE % 2500))
-    assert found == discovery.TargetList(
+def test_target_lists_are_parsed():
+    target_list = discovery.parse_target_list(
+        b'{"index":41,"snapshot":true,"endpoints":[%s]}' % (ENDPOINT % 2500)
+    )
+    assert target_list == discovery.TargetList(
         41,
         True,
         (discovery.TargetRecord("s-1", "10.1.0.18", 3000, "a", "m2", 3, TargetStatus.DRAINING, 1.5, 2.5),),
     )
-    found = discovery.parse_target_list(b'{"index":1,"snapshot":false,"endpoints":[%s]}' % (LINE % 0))
-    assert found.targets[0].started_at is None and not found.is_full
+    target_list = discovery.parse_target_list(
+        b'{"index":1,"snapshot":false,"endpoints":[%s]}' % (ENDPOINT % 0)
+    )
+    assert target_list.targets[0].started_at is None and not target_list.is_full
 
 
 @pytest.mark.parametrize(
@@ -241,8 +257,8 @@
         b'{"index":"x","snapshot":true,"endpoints":[]}',
         b'{"index":1,"snapshot":true,"endpoints":[1]}',
         b'{"index":1,"snapshot":true,"endpoints":[{"name":"a"}]}',
-        b'{"index":1,"snapshot":true,"endpoints":[%s]}' % (LINE % 0).replace(b"leaving", b"dancing"),
-        b'{"index":1,"snapshot":true,"endpoints":[%s]}' % (LINE % 0).replace(b":3000", b":99999"),
+        b'{"index":1,"snapshot":true,"endpoints":[%s]}' % (ENDPOINT % 0).replace(b"leaving", b"dancing"),
+        b'{"index":1,"snapshot":true,"endpoints":[%s]}' % (ENDPOINT % 0).replace(b":3000", b":99999"),
     ],
 )
 def test_malformed_target_lists_are_rejected(body):
@@ -251,22 +267,24 @@
 
 
 # --- NVMe/TCP -------------------------------------------------------------------------------------
-def pdus(data: bytes, step: int, allowed=nvme.FROM_HOST) -> list[nvme.Pdu]:
-    reader, kept, found = nvme.PduReader(allowed), b"", []
-    for at in range(0, len(data), step):
-        kept += data[at : at + step]
-        while kept:
-            used, one = reader.feed(memoryview(kept))
-            kept = kept[used:]
-            if one is not None:
-                found.append(one)
-            if not used:
+def read_pdus(data: bytes, step: int, allowed=nvme.FROM_HOST) -> list[nvme.Pdu]:
+    reader = nvme.PduReader(allowed)
+    unread = b""
+    complete_pdus = []
+    for offset in range(0, len(data), step):
+        unread += data[offset : offset + step]
+        while unread:
+            consumed, pdu = reader.feed(memoryview(unread))
+            unread = unread[consumed:]
+            if pdu is not None:
+                complete_pdus.append(pdu)
+            if not consumed:
                 break
-    return found
+    return complete_pdus
 
 
-IC = bytes.fromhex("0000800080000000") + bytes(120)
-WRITE = (
+IC_REQUEST = bytes.fromhex("0000800080000000") + bytes(120)
+WRITE_COMMAND = (
     bytes.fromhex("04004848" "4c000000" "01400500" "03000000")
     + bytes(16)
     + bytes(8)
@@ -274,13 +292,13 @@
     + bytes(14)
     + b"data"
 )
-H2C = bytes.fromhex("06041818" "1c000000" "0500" "0900" "08000000" "04000000" "00000000") + b"rest"
+H2C_DATA = bytes.fromhex("06041818" "1c000000" "0500" "0900" "08000000" "04000000" "00000000") + b"rest"
 
 
 @pytest.mark.parametrize("step", [1, 5, 1 << 20])
-def test_pdus_from_a_host(step):
-    ic, write, data = pdus(IC + WRITE + H2C, step)
-    assert nvme.parse_ic(ic) == 0
+def test_pdus_from_a_host_are_parsed(step):
+    ic_request, write, data = read_pdus(IC_REQUEST + WRITE_COMMAND + H2C_DATA, step)
+    assert nvme.parse_ic(ic_request) == 0
     command = nvme.parse_command(write)
     assert (command.opcode, command.cid, command.nsid, command.lba, command.blocks, write.data) == (
         nvme.WRITE,
@@ -296,94 +314,95 @@
 @pytest.mark.parametrize(
     ("data", "info"),
     [
-        (b"\x05" + IC[1:], 0),  # a type that a host does not send
-        (b"\x77" + IC[1:], 0),
-        (b"\x04\x01" + WRITE[2:], 1),  # digests
-        (b"\x04\x00\x49" + WRITE[3:], 2),  # header length
-        (b"\x04\x00\x48\x50" + WRITE[4:], 3),  # data offset
-        (WRITE[:4] + b"\x04\x00\x00\x00", 4),  # shorter than its header
-        (WRITE[:4] + b"\x49\x00\x01\x00", 4),  # 64 KiB and one more byte
-        (IC[:4] + b"\x81\x00\x00\x00", 4),  # data where there can't be any
+        (b"\x05" + IC_REQUEST[1:], 0),  # PDU type that only a controller sends
+        (b"\x77" + IC_REQUEST[1:], 0),
+        (b"\x04\x01" + WRITE_COMMAND[2:], 1),  # digest flag
+        (b"\x04\x00\x49" + WRITE_COMMAND[3:], 2),  # wrong header length
+        (b"\x04\x00\x48\x50" + WRITE_COMMAND[4:], 3),  # wrong data offset
+        (WRITE_COMMAND[:4] + b"\x04\x00\x00\x00", 4),  # PDU length below the header length
+        (WRITE_COMMAND[:4] + b"\x49\x00\x01\x00", 4),  # data length of 64 KiB + 1 byte
+        (IC_REQUEST[:4] + b"\x81\x00\x00\x00", 4),  # data in a PDU of a type without data
     ],
 )
 def test_malformed_pdus_are_rejected_by_their_common_header(data, info):
     with pytest.raises(nvme.PduError) as caught:
-        pdus(data[:8], 8)
+        read_pdus(data[:8], 8)
     assert (caught.value.status, caught.value.info) == (nvme.BAD_FIELD, info)
 
 
 @pytest.mark.parametrize(
-    "raw",
+    "capsule",
     [
-        WRITE[:9] + b"\x41" + WRITE[10:],  # fused
-        WRITE[:40] + b"\x05" + WRITE[41:],  # descriptor and data differ in length
-        WRITE[:47] + b"\x5a" + WRITE[48:],  # data, but a descriptor for a transfer
+        WRITE_COMMAND[:9] + b"\x41" + WRITE_COMMAND[10:],  # fused command
+        WRITE_COMMAND[:40] + b"\x05" + WRITE_COMMAND[41:],  # descriptor length differs from the data
+        WRITE_COMMAND[:47] + b"\x5a" + WRITE_COMMAND[48:],  # in-capsule data with a transport descriptor
     ],
 )
-def test_malformed_commands_are_rejected(raw):
+def test_malformed_commands_are_rejected(capsule):
     with pytest.raises(nvme.PduError):
-        nvme.parse_command(pdus(raw, 1 << 20)[0])
+        nvme.parse_command(read_pdus(capsule, 1 << 20)[0])
 
 
 @pytest.mark.parametrize(
-    ("done", "status_field"),
+    ("completion", "status_field"),
     [
         (nvme.Completion(7, nvme.NOT_READY, 0, 2), 0x82 << 1 | 2 << 12),
         (nvme.Completion(7, nvme.INTERNAL, 0, 0, True), 6 << 1 | 1 << 15),
         (nvme.Completion(7, nvme.BAD_CONNECT, 9, 0, True), 0x182 << 1 | 1 << 15),
     ],
 )
-def test_completions(done, status_field):
-    raw = nvme.completion(done, 1, 3)
-    assert raw == bytes.fromhex("0500180018000000") + struct.pack(
-        "<QHHHH", done.result, 3, 1, 7, status_field
+def test_completions_are_encoded_and_parsed(completion, status_field):
+    encoded = nvme.completion(completion, 1, 3)
+    assert encoded == bytes.fromhex("0500180018000000") + struct.pack(
+        "<QHHHH", completion.result, 3, 1, 7, status_field
     )
-    assert nvme.parse_completion(pdus(raw, 9, nvme.FROM_CONTROLLER)[0]) == done
+    assert nvme.parse_completion(read_pdus(encoded, 9, nvme.FROM_CONTROLLER)[0]) == completion
 
 
 def test_connect_capsule_fields_are_at_their_offsets():
-    raw = nvme.connect(2, 1, 8, 10.0, 7, b"me", "nqn.sub", "nqn.me")
-    entry, data = raw[8:72], raw[72:]
-    assert struct.unpack_from("<BBHB", entry) == (0x7F, 0x40, 2, 1)
-    assert struct.unpack_from("<HHHBxI", entry, 40) == (0, 1, 7, 0, 10000)
+    capsule = nvme.connect(2, 1, 8, 10.0, 7, b"me", "nqn.sub", "nqn.me")
+    submission_entry, data = capsule[8:72], capsule[72:]
+    assert struct.unpack_from("<BBHB", submission_entry) == (0x7F, 0x40, 2, 1)
+    assert struct.unpack_from("<HHHBxI", submission_entry, 40) == (0, 1, 7, 0, 10000)
     assert len(data) == 1024 and nvme.parse_connect(data) == (7, "nqn.sub", "nqn.me")
 
 
-def test_identify_pages():
-    page = nvme.identify_controller(3, "n1", "nqn.sub", (1, 2, 5), 4)
-    assert len(page) == 4096 and struct.unpack_from("<3H", page, 128) == (1, 2, 5)
-    assert page[768:775] == b"nqn.sub" and nvme.capsule_limit(page) == nvme.IN_CAPSULE
-    space = nvme.identify_namespace(1000, 4096)
-    assert struct.unpack_from("<Q", space)[0] == 1000 and space[130] == 12
+def test_identify_data_fields_are_at_their_offsets():
+    controller = nvme.identify_controller(3, "n1", "nqn.sub", (1, 2, 5), 4)
+    assert len(controller) == 4096 and struct.unpack_from("<3H", controller, 128) == (1, 2, 5)
+    assert controller[768:775] == b"nqn.sub" and nvme.capsule_limit(controller) == nvme.IN_CAPSULE
+    namespace = nvme.identify_namespace(1000, 4096)
+    assert struct.unpack_from("<Q", namespace)[0] == 1000 and namespace[130] == 12
     assert struct.unpack_from("<3I", nvme.active_namespaces([4, 1, 9], 1)) == (4, 9, 0)
 
 
 # --- Metrics --------------------------------------------------------------------------------------
 def collectd_decoded(packet: bytes) -> tuple[dict, dict[str, float]]:
-    """Decode a packet as collectd does, part by part: its head, and its values by type instance."""
-    at, now, found = 0, {}, {}
-    while at < len(packet):
-        kind, length = struct.unpack_from(">HH", packet, at)
-        body = packet[at + 4 : at + length]
-        if kind == 6:
-            count, code = struct.unpack_from(">HB", body)
+    """Decode a packet part by part, as collectd does; return its parts by type and its values by metric."""
+    offset = 0
+    parts, values = {}, {}
+    while offset < len(packet):
+        part_type, length = struct.unpack_from(">HH", packet, offset)
+        body = packet[offset + 4 : offset + length]
+        if part_type == 6:
+            count, value_kind = struct.unpack_from(">HB", body)
             assert count == 1 and len(body) == 3 + 8
-            found[now[5].decode()] = struct.unpack_from("<d" if code == 1 else ">q", body, 3)[0]
+            values[parts[5].decode()] = struct.unpack_from("<d" if value_kind == 1 else ">q", body, 3)[0]
         else:
-            now[kind] = body[:-1] if kind not in (1, 7) else struct.unpack(">Q", body)[0]
-        at += length
-    return now, found
+            parts[part_type] = body[:-1] if part_type not in (1, 7) else struct.unpack(">Q", body)[0]
+        offset += length
+    return parts, values
 
 
 def test_collectd_packets_are_complete_and_bounded():
     sample = {f"figure_{i}": i + 0.5 for i in range(100)}
     packets = metrics.collectd_packets("n1", sample, frozenset(("figure_7",)), 1000.9, 10.0)
-    assert len(packets) > 1 and max(map(len, packets)) <= metrics.MAX_PACKET
-    found = {}
-    for head, values in map(collectd_decoded, packets):
-        assert (head[0], head[2], head[3], head[1], head[7]) == (b"n1", b"stalltiller", b"n1", 1000, 10)
-        found |= values
-    assert found == {
+    assert len(packets) > 1 and max(map(len, packets)) <= metrics.MAX_PACKET_BYTES
+    decoded_values = {}
+    for parts, values in map(collectd_decoded, packets):
+        assert (parts[0], parts[2], parts[3], parts[1], parts[7]) == (b"n1", b"stalltiller", b"n1", 1000, 10)
+        decoded_values |= values
+    assert decoded_values == {
         name: value if name == "figure_7" else math.floor(value) for name, value in sample.items()
     }
 
