--- a/bench/recovery_faults.py
+++ b/bench/recovery_faults.py
@@ -1,14 +1,16 @@
 """Seeded schedules of faults during recovery: `python -m bench.recovery_faults [--seeds 50] [--first 1]`.
 
-Six processes serve the load of clients that retry.  Each seed determines how many are killed (or stopped
-cleanly), whose state is lost or torn, whether and how long discovery is unavailable meanwhile, a second wave
-of kills, a partition of the fleet, and a target that begins to drain.  One JSON line is printed for each
-schedule, with the rules broken in it, and one for all.  The rules are:
-
-- a client whose request a running member accepted is answered within its time, once;
-- no member sends to a target 2 s after its own list reported the drain, or at all once a peer reported it;
-- a volume of plan `basic` never exceeds its limit and burst;
-- the engine's guards find no fault, and all members reach full service once everything is available again.
+Six processes serve a steady load of reads.  Each seed determines which members are killed (or shut down
+cleanly), whose snapshot is lost or corrupt, for how long discovery is unavailable meanwhile, a second wave of
+kills, a partition of the fleet, and whether a target begins to drain.  One JSON line is printed per schedule,
+with the rules broken in it, and a summary at the end.  The rules are:
+
+- a client whose request a running member accepted gets a response within 2 s;
+- no member sends to a draining target later than 2 s after the lists of all members reported the drain (that
+  a restarted member sends nothing at all once a peer reported it is not checked here);
+- a volume of plan `basic` exceeds its limit and burst by at most LIMIT_TOLERANCE_UNITS;
+- the engine's guards find no fault, and the restarted members reach full service within RECOVERY_SECONDS once
+  everything is available again.
 """
 
 from __future__ import annotations
@@ -26,36 +28,36 @@
 from pathlib import Path
 
 from bench.storm import BURST, LIMIT, lowest_level
-from tests.fleet.rig import Rig, exchange
+from tests.fleet.rig import Rig, send_read
 
 FLEET_SIZE = 6
-READS_PER_SECOND = 60.0  # of all clients together
-VOLUME_READS_PER_SECOND = 40.0  # of the limited volume, through one initiator
-WARM_UP_SECONDS = 5.0  # of load before the first fault: the ramps of the start are over by then
-SAVE_SECONDS = 0.15  # after which a change of the list is on the disk: a sooner kill may undo it
-DRAIN_GRACE_SECONDS = 2.0  # after which nothing may start at a draining target
-LIMIT_TOLERANCE_UNITS = 6.0  # by which a volume may exceed its limit
-ANSWER_SECONDS = 2.0  # in which a running member must answer: its client waits 1.2 s
-RECOVERY_SECONDS = 12.0  # after the last fault, in which all have to reach full service
+READS_PER_SECOND = 60.0  # total rate of all clients, without that of the limited volume
+VOLUME_READS_PER_SECOND = 40.0  # rate of reads from the limited volume, all through one initiator
+WARM_UP_SECONDS = 5.0  # load before the first fault; the initial ramps are over by then
+LIST_SAVE_SECONDS = 0.15  # a changed target list is on disk by then; an earlier kill may lose it
+DRAIN_GRACE_SECONDS = 2.0  # no attempt may start at a draining target later than this
+LIMIT_TOLERANCE_UNITS = 6.0  # a volume may exceed its limit by this
+RESPONSE_TIMEOUT_SECONDS = 2.0  # a running member must respond within this; its client's timeout is 1.2 s
+RECOVERY_SECONDS = 12.0  # restarted members must reach full service within this after the last fault
 
 
 @dataclass(slots=True, frozen=True)
 class Schedule:
-    """One seed's faults; times in seconds from the first kill."""
+    """The faults that one seed stands for; times are seconds from the first kill."""
 
     killed: tuple[str, ...]
     is_clean_shutdown: bool  # SIGTERM in place of SIGKILL
-    lost: tuple[str, ...]  # members whose snapshot is lost
-    torn: tuple[str, ...]  # members whose snapshot is corrupt
-    discovery_down_time: float  # 0: it stays available
+    snapshot_lost: tuple[str, ...]  # members whose snapshot is deleted
+    snapshot_corrupt: tuple[str, ...]  # members whose snapshot is corrupted
+    discovery_down_time: float  # 0: discovery stays available
     second_wave: tuple[str, ...]  # members that are killed again
     second_wave_at: float
-    partition_size: int  # members on one side of a partition; 0: none
-    drains_target: bool  # whether a target begins to drain just before
+    partition_size: int  # number of members on one side; 0: no partition
+    drains_target: bool  # whether a target begins to drain just before the first kill
 
     @classmethod
     def from_seed(cls, seed: int) -> Schedule:
-        """Draw a schedule; the order of the draws determines what a seed stands for."""
+        """Generate a schedule; the order of the random calls determines which faults a seed stands for."""
         rng = random.Random(seed)
         names = [f"m{number}" for number in range(FLEET_SIZE)]
         killed = rng.sample(names, rng.randint(2, FLEET_SIZE))
@@ -64,8 +66,8 @@
         return cls(
             killed=tuple(killed),
             is_clean_shutdown=rng.random() < 0.2,
-            lost=tuple(without_state[:lost_count]),
-            torn=tuple(without_state[lost_count:]),
+            snapshot_lost=tuple(without_state[:lost_count]),
+            snapshot_corrupt=tuple(without_state[lost_count:]),
             discovery_down_time=rng.choice((0.0, 0.0, 2.0, 5.0)),
             second_wave=tuple(rng.sample(killed, rng.choice((0, 1, 2)))),
             second_wave_at=rng.uniform(0.3, 2.5),
@@ -74,59 +76,59 @@
         )
 
     def summary(self) -> dict[str, object]:
-        """Return the faults in short, for the printed line."""
+        """Return a short form of the faults for the printed line."""
         return {
             "killed": len(self.killed),
             "second": len(self.second_wave),
             "down_s": self.discovery_down_time,
             "cut": self.partition_size,
-            "lost": len(self.lost),
-            "torn": len(self.torn),
+            "lost": len(self.snapshot_lost),
+            "torn": len(self.snapshot_corrupt),
             "drains": self.drains_target,
         }
 
 
 class ClientLoad:
-    """Sends reads through the members and notes the rules that clients see broken."""
+    """Sends reads through the members and records missing responses as broken rules."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig = rig
         self.broken_rules: list[str] = []
         self.served = 0
-        self.ending: set[str] = set()  # members that are about to be killed
+        self.members_to_kill: set[str] = set()  # they may leave requests without a response
         self._tasks: set[asyncio.Task] = set()
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
 
     async def run(self, rate: float, members: list[str], **request: object) -> None:
-        """Send reads through some members in turn, until cancelled."""
+        """Send reads through some members, round robin, until cancelled."""
         for number in itertools.count():
             name = members[number % len(members)]
-            task = asyncio.create_task(self._read(name, next(self._numbers), **request))
+            task = asyncio.create_task(self._read(name, next(self._request_numbers), **request))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
             await asyncio.sleep(1 / rate)
 
     async def wait(self) -> None:
-        """Wait for all reads that are open."""
+        """Wait until no read is in flight."""
         await asyncio.gather(*self._tasks)
 
     async def _read(self, name: str, number: int, **request: object) -> None:
         process = self.rig[name].process
         request.setdefault("shard", number % 2)
         try:
-            async with asyncio.timeout(ANSWER_SECONDS):
-                response = await exchange(self.rig[name].listen, number, **request)
+            async with asyncio.timeout(RESPONSE_TIMEOUT_SECONDS):
+                response = await send_read(self.rig[name].listen, number, **request)
                 self.served += response.status == 200
         except TimeoutError:
             is_running = process is self.rig[name].process and process.returncode is None
-            if is_running and name not in self.ending:
-                self.broken_rules.append(f"a client of {name} had no answer")
+            if is_running and name not in self.members_to_kill:
+                self.broken_rules.append(f"a client of {name} got no response")
         except (OSError, EOFError):
             pass  # the member is not running
 
 
 async def end_members(rig: Rig, names: tuple[str, ...], is_clean_shutdown: bool) -> None:
-    """End some members at once."""
+    """Kill or shut down some members together, and wait until they have exited."""
     for name in names:
         rig[name].send(signal.SIGTERM if is_clean_shutdown else signal.SIGKILL)
     await asyncio.gather(*(rig[name].process.wait() for name in names))
@@ -138,22 +140,22 @@
 
 
 async def drain_target(rig: Rig) -> float:
-    """Have s-1 drain; return when all members knew it, once they have saved it."""
+    """Drain s-1 and wait until all members have saved that; return when the lists of all reported it."""
     rig.discovery.set(rig.targets[1], "leaving")
     await rig.until(
         lambda: all(
             any(line["targets"].get("s-1") == "draining" for line in member.logged("list"))
             for member in rig.members.values()
         ),
-        "all know the drain",
+        "the lists of all members report the drain",
     )
-    notified_at = time.monotonic()
-    await asyncio.sleep(SAVE_SECONDS)
-    return notified_at
+    all_notified_at = time.monotonic()
+    await asyncio.sleep(LIST_SAVE_SECONDS)
+    return all_notified_at
 
 
 async def inject_faults(rig: Rig, schedule: Schedule) -> None:
-    """Kill and restart members as scheduled, and end the partition and discovery's unavailability."""
+    """Inject the scheduled faults, then end the partition and discovery's unavailability."""
     names = list(rig.members)
     if schedule.discovery_down_time:
         rig.discovery.close()
@@ -161,10 +163,10 @@
         rig.proxy.cut(set(names[: schedule.partition_size]), set(names[schedule.partition_size :]))
     first_kill_at = time.monotonic()
     await end_members(rig, schedule.killed, schedule.is_clean_shutdown)
-    for name in schedule.lost:
-        shutil.rmtree(rig[name].store)
-    for name in schedule.torn:
-        path = rig[name].store / "data.mdb"
+    for name in schedule.snapshot_lost:
+        shutil.rmtree(rig[name].store_path)
+    for name in schedule.snapshot_corrupt:
+        path = rig[name].store_path / "data.mdb"
         path.write_bytes(path.read_bytes().replace(b"STL1", b"STL0"))
     await start_members(rig, schedule.killed)
     await asyncio.sleep(max(0.0, first_kill_at + schedule.second_wave_at - time.monotonic()))
@@ -177,8 +179,8 @@
 
 
 async def wait_until_full(rig: Rig, names: tuple[str, ...], broken_rules: list[str]) -> float:
-    """Wait until members serve in full, or note that they don't; return the seconds that it took."""
-    began = time.monotonic()
+    """Wait until members reach full service, or record a broken rule; return the seconds waited."""
+    started_at = time.monotonic()
 
     async def all_full() -> bool:
         statuses = await asyncio.gather(*(rig[name].admin_json("/_fleet/status") for name in names))
@@ -186,35 +188,39 @@
 
     try:
         async with asyncio.timeout(RECOVERY_SECONDS):
-            await rig.until(all_full, "all are full")
+            await rig.until(all_full, "all restarted members are at full service")
     except TimeoutError:
         phases = [(await rig[name].admin_json("/_fleet/status"))["phase"] for name in names]
-        broken_rules.append(f"not full again: {phases}")
-    return time.monotonic() - began
+        broken_rules.append(f"not back to full service: {phases}")
+    return time.monotonic() - started_at
 
 
 def count_faults(rig: Rig) -> int:
-    """Return how many faults the engine's guards have logged."""
+    """Return the number of faults that the engine's guards have logged."""
     return sum(len(member.logged("fault")) for member in rig.members.values())
 
 
-def broken_drain_rules(rig: Rig, notified_at: float, ended_at: float) -> list[str]:
-    """Return the rules broken by sends to the draining target."""
-    late_sends = sum(notified_at + DRAIN_GRACE_SECONDS < at < ended_at for at, _tag in rig.targets[1].begun)
-    return [f"{late_sends} sends to a target that drains"] if late_sends else []
+def broken_drain_rules(rig: Rig, all_notified_at: float, ended_at: float) -> list[str]:
+    """Return the rule broken by late attempts at the draining target, if there were any."""
+    late_attempts = sum(
+        all_notified_at + DRAIN_GRACE_SECONDS < at < ended_at for at, _tag in rig.targets[1].begun
+    )
+    return [f"{late_attempts} attempts at a draining target"] if late_attempts else []
 
 
-async def play(seed: int, folder: Path) -> dict[str, object]:
-    """Play one seed's schedule and return its figures with the broken rules."""
+async def run_schedule(seed: int, folder: Path) -> dict[str, object]:
+    """Run one seed's schedule and return its figures with the broken rules."""
     schedule = Schedule.from_seed(seed)
-    began = time.monotonic()
-    async with Rig(FLEET_SIZE, folder, keep="true") as rig:
+    started_at = time.monotonic()
+    async with Rig(FLEET_SIZE, folder, persists_state="true") as rig:
         names = list(rig.members)
         await rig.agreed()
-        await rig.until(lambda: all(rig[name].logged("list") for name in names), "all have a list")
+        await rig.until(
+            lambda: all(rig[name].logged("list") for name in names), "all members have a target list"
+        )
         limited_target = await rig.add("s-2", 2)
         load = ClientLoad(rig)
-        load.ending |= set(schedule.killed)
+        load.members_to_kill |= set(schedule.killed)
         clients = asyncio.create_task(load.run(READS_PER_SECOND, names))
         volume_clients = asyncio.create_task(
             load.run(VOLUME_READS_PER_SECOND, names[:1], shard=2, plan="basic", volume=9)
@@ -223,30 +229,30 @@
         drain_notified_at = await drain_target(rig) if schedule.drains_target else 0.0
         faults_before = count_faults(rig)
         await inject_faults(rig, schedule)
-        volume_clients.cancel()  # they ask for more than the limit: service is never full with them
+        volume_clients.cancel()  # its load exceeds the volume's limit, so service would never be full
         drain_ended_at = 0.0
-        if schedule.drains_target:  # it stays after all
+        if schedule.drains_target:  # discovery lists the target as ready again
             drain_ended_at = time.monotonic()
             rig.discovery.set(rig.targets[1])
         full_after = await wait_until_full(rig, schedule.killed, load.broken_rules)
-        load.ending.clear()
+        load.members_to_kill.clear()
         clients.cancel()
         await load.wait()
         broken_rules = list(load.broken_rules)
         faults = count_faults(rig) - faults_before
         if faults:
-            broken_rules.append(f"{faults} faults")
+            broken_rules.append(f"{faults} engine faults")
         broken_rules += broken_drain_rules(rig, drain_notified_at, drain_ended_at)
         units_left = lowest_level(limited_target.begun)
         if units_left < -LIMIT_TOLERANCE_UNITS:
-            broken_rules.append(f"the limit was passed by {-units_left:.1f} units")
+            broken_rules.append(f"the volume exceeded its limit by {-units_left:.1f} units")
         return {
             "seed": seed,
             **schedule.summary(),
             "full_after_healing_s": round(full_after, 1),
             "served": load.served,
             "limit_left": round(units_left, 1),
-            "took_s": round(time.monotonic() - began, 1),
+            "took_s": round(time.monotonic() - started_at, 1),
             "broken": sorted(set(broken_rules)),
         }
 
@@ -259,7 +265,7 @@
     results = []
     for seed in range(options.first, options.first + options.seeds):
         with tempfile.TemporaryDirectory() as folder:
-            results.append(asyncio.run(play(seed, Path(folder))))
+            results.append(asyncio.run(run_schedule(seed, Path(folder))))
             print(json.dumps(results[-1]), flush=True)
     recovery_times = sorted(result["full_after_healing_s"] for result in results)
     summary = {
--- a/tests/fleet/proxy.py
+++ b/tests/fleet/proxy.py
@@ -1,4 +1,4 @@
-"""Fault-injecting proxies on loopback, one for each member: loss, delay, duplication and cuts by pairs."""
+"""Fault-injecting proxies on loopback, one per member: loss, delay, duplication and cuts between pairs."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """What happens from one member to another.
+    """Faults of the datagrams from one member to another.
 
-    `loss` and `duplication` are fractions of the messages.  Each message has a random delay of at most
-    `delay` seconds, so that messages overtake each other.
+    `loss` and `duplication` are fractions of the datagrams.  Each datagram gets a random delay of at most
+    `delay` seconds, so that datagrams are reordered.
     """
 
     loss: float = 0.0
@@ -44,9 +44,9 @@
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", port)
 
     def datagram_received(self, data: bytes, source: tuple[str, int]) -> None:
-        fault = self.proxy.fault(self.proxy.names.get(source[1], "?"), self.name)
+        fault = self.proxy.fault(self.proxy.names_by_port.get(source[1], "?"), self.name)
         if self.proxy.rng.random() < fault.loss:
-            self.proxy.lost[self.proxy.names.get(source[1], "?"), self.name] += 1
+            self.proxy.lost_datagrams[self.proxy.names_by_port.get(source[1], "?"), self.name] += 1
             return
         for _ in range(1 + (self.proxy.rng.random() < fault.duplication)):
             asyncio.get_running_loop().call_later(fault.delay * self.proxy.rng.random(), self.forward, data)
@@ -56,19 +56,19 @@
             self.transport.sendto(data, ("127.0.0.1", self.port))
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Forward one push-pull synchronisation, unless either direction between the two is cut."""
-        target_writer = None
+        """Forward one push-pull synchronisation, unless either direction between the two members is cut."""
+        member_writer = None
         with contextlib.suppress(OSError, EOFError):
             length = await reader.readexactly(LENGTH_PREFIX.size)
             data = await reader.readexactly(LENGTH_PREFIX.unpack(length)[0])
-            client = decode_sync(self.proxy.fleet, data).sender.name
-            if CUT not in (self.proxy.fault(client, self.name), self.proxy.fault(self.name, client)):
-                target_reader, target_writer = await asyncio.open_connection("127.0.0.1", self.port)
-                target_writer.write(length + data)
-                length = await target_reader.readexactly(LENGTH_PREFIX.size)
-                writer.write(length + await target_reader.readexactly(LENGTH_PREFIX.unpack(length)[0]))
+            sender = decode_sync(self.proxy.fleet, data).sender.name
+            if CUT not in (self.proxy.fault(sender, self.name), self.proxy.fault(self.name, sender)):
+                member_reader, member_writer = await asyncio.open_connection("127.0.0.1", self.port)
+                member_writer.write(length + data)
+                length = await member_reader.readexactly(LENGTH_PREFIX.size)
+                writer.write(length + await member_reader.readexactly(LENGTH_PREFIX.unpack(length)[0]))
                 await writer.drain()
-        for stream in (writer, target_writer):
+        for stream in (writer, member_writer):
             if stream is not None:
                 stream.close()
 
@@ -83,24 +83,24 @@
     def __init__(self, fleet: str, seed: int = 1) -> None:
         self.fleet = fleet
         self.rng = random.Random(seed)
-        self.names: dict[int, str] = {}  # by the member's port
+        self.names_by_port: dict[int, str] = {}  # keyed by the port at which the member itself listens
         self.member_proxies: list[MemberProxy] = []
         self.faults: dict[tuple[str, str], Fault] = {}
         self.default_fault = Fault()
-        self.lost: Counter[tuple[str, str]] = Counter()
+        self.lost_datagrams: Counter[tuple[str, str]] = Counter()
 
     def fault(self, sender: str, receiver: str) -> Fault:
-        """The fault from one member to another."""
+        """Return the fault that applies from one member to another."""
         return self.faults.get((sender, receiver), self.default_fault)
 
     async def add_member(self, name: str, member_port: int, port: int) -> None:
-        """Open a proxy at `port` to the member that listens at `member_port`."""
-        self.names[member_port] = name
+        """Open a proxy at `port` for the member that listens at `member_port`."""
+        self.names_by_port[member_port] = name
         self.member_proxies.append(MemberProxy(self, name, member_port))
         await self.member_proxies[-1].open(port)
 
     def cut(self, senders: set[str], receivers: set[str], both: bool = True) -> None:
-        """Cut each sender from each receiver, and if `both` the other direction too."""
+        """Drop all messages from each sender to each receiver, and with `both` also those in reverse."""
         for sender in senders:
             for receiver in receivers - {sender}:
                 self.faults[sender, receiver] = CUT
@@ -108,7 +108,7 @@
                     self.faults[receiver, sender] = CUT
 
     def heal(self) -> None:
-        """End all faults between pairs."""
+        """Remove all faults set between pairs of members."""
         self.faults.clear()
 
     def close(self) -> None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Data written by version f5167fe is still read, field by field, and still written with the same bytes."""
+"""Data written by version f5167fe is still read field by field, and written again with the same bytes."""
 
 from __future__ import annotations
 
@@ -32,21 +32,21 @@
     return bytes.fromhex(DATAGRAMS[codec][name])
 
 
-def copied(folder: Path, tmp_path: Path) -> str:
-    """A copy of a store, as opening one writes to its folder."""
+def copy_store(folder: Path, tmp_path: Path) -> str:
+    """Return the folder of a copy of a store, as opening a store writes to its folder."""
     return str(shutil.copytree(folder, tmp_path / folder.name))
 
 
-def pairs(folder: str) -> dict[bytes, bytes]:
-    """All keys and values of a store."""
+def stored_pairs(folder: str) -> dict[bytes, bytes]:
+    """Return all keys and values of a store."""
     with lmdb.open(folder, readonly=True, lock=False) as env, env.begin() as transaction:
         return {bytes(key): bytes(value) for key, value in transaction.cursor()}
 
 
 # --- Recovery store -----------------------------------------------------------------------------------
 def test_a_recovery_store_is_read(tmp_path):
-    store = SnapshotStore(copied(samples.RECOVERY_STORE, tmp_path))
-    assert store.load(samples.NAME, samples.DISCOVERY, samples.SAVED_AT) == samples.SNAPSHOT
+    store = SnapshotStore(copy_store(samples.RECOVERY_STORE, tmp_path))
+    assert store.load(samples.INITIATOR_NAME, samples.DISCOVERY_ADDRESS, samples.SAVED_AT) == samples.SNAPSHOT
     store.close()
 
 
@@ -54,25 +54,25 @@
     store = SnapshotStore(str(tmp_path / "new"))
     store.save(samples.SNAPSHOT)
     store.close()
-    expected = pairs(copied(samples.RECOVERY_STORE, tmp_path))
+    expected = stored_pairs(copy_store(samples.RECOVERY_STORE, tmp_path))
     assert expected.keys() == {b"facts"}
-    assert pairs(str(tmp_path / "new")) == expected
+    assert stored_pairs(str(tmp_path / "new")) == expected
 
 
-def test_the_recovery_store_holds_each_state_of_a_target():
+def test_the_recovery_store_holds_targets_of_every_status():
     assert {target.status for target in samples.TARGETS} == set(TargetStatus)
 
 
 # --- Voter's store ------------------------------------------------------------------------------------
 def test_a_voters_store_is_read(tmp_path):
-    store = VoterStore(copied(samples.VOTER_STORE, tmp_path), samples.VOTER)
+    store = VoterStore(copy_store(samples.VOTER_STORE, tmp_path), samples.VOTER)
     assert store.load_state() == (3, samples.CANDIDATE, list(samples.LOG[2:]))
     index, term, state = store.load_snapshot()
     store.close()
     assert (index, term) == (2, 2)
     state_machine = lease_codec.decode_state_machine(state)
     assert state_machine == samples.STATE_MACHINE
-    assert list(state_machine.sessions) == ["s-2", "s-1"]  # the order is kept: the oldest session goes first
+    assert list(state_machine.sessions) == ["s-2", "s-1"]  # the least recently used session comes first
 
 
 def test_a_voters_store_is_written_with_the_same_bytes(tmp_path):
@@ -82,72 +82,72 @@
     store.persist_state(samples.PERSIST_STATE)
     store.persist_snapshot(samples.PERSIST_SNAPSHOT)
     store.close()
-    expected = pairs(copied(samples.VOTER_STORE, tmp_path))
+    expected = stored_pairs(copy_store(samples.VOTER_STORE, tmp_path))
     entries = {b"e" + index.to_bytes(8, "big") for index in range(3, 7)}
     assert expected.keys() == {b"meta", b"made for", b"snapshot"} | entries
-    assert pairs(folder) == expected
+    assert stored_pairs(folder) == expected
 
 
-def test_a_voters_store_belongs_to_the_voter_it_was_made_for(tmp_path):
+def test_a_voters_store_is_rejected_when_another_voter_opens_it(tmp_path):
     with pytest.raises(OSError, match="made for 'v-1'"):
-        VoterStore(copied(samples.VOTER_STORE, tmp_path), "v-2")
+        VoterStore(copy_store(samples.VOTER_STORE, tmp_path), "v-2")
 
 
-# --- Hand-over file -----------------------------------------------------------------------------------
+# --- Handover file ------------------------------------------------------------------------------------
 def test_a_handover_file_is_read_and_written_with_the_same_bytes(tmp_path):
-    expected = samples.HANDOVER.read_bytes()
-    copy = tmp_path / samples.HANDOVER.name
-    copy.write_bytes(expected)
-    handover = ProcessHandover(str(tmp_path), samples.NAME)
-    assert handover.load() == samples.TAKEN_OUT
-    copy.unlink()
-    handover.save(samples.TAKEN_OUT)
-    assert copy.read_bytes() == expected
+    expected = samples.HANDOVER_FILE.read_bytes()
+    path = tmp_path / samples.HANDOVER_FILE.name
+    path.write_bytes(expected)
+    handover = ProcessHandover(str(tmp_path), samples.INITIATOR_NAME)
+    assert handover.load() == samples.DETACHED_TARGETS
+    path.unlink()
+    handover.save(samples.DETACHED_TARGETS)
+    assert path.read_bytes() == expected
 
 
 def test_the_lock_file_keeps_its_name(tmp_path):
-    handover = ProcessHandover(str(tmp_path), samples.NAME)
+    handover = ProcessHandover(str(tmp_path), samples.INITIATOR_NAME)
     assert handover.acquire_lock()
     handover.release_lock()
     assert [path.name for path in tmp_path.iterdir()] == ["stalltiller-w_1.lock"]
 
 
-# --- The fleet's datagrams ----------------------------------------------------------------------------
+# --- Datagrams of the fleet ---------------------------------------------------------------------------
 @pytest.mark.parametrize("name", DATAGRAMS["fleet packets"])
 def test_a_packet_is_read_and_written(name):
     data = fixture_bytes("fleet packets", name)
-    assert fleet_codec.decode_packet(samples.FLEET, data) == samples.PACKETS[name]
-    assert fleet_codec.encode_packet(samples.FLEET, samples.PACKETS[name]) == data
+    assert fleet_codec.decode_packet(samples.FLEET_NAME, data) == samples.PACKETS[name]
+    assert fleet_codec.encode_packet(samples.FLEET_NAME, samples.PACKETS[name]) == data
 
 
 def test_a_push_pull_sync_is_read_and_written():
     data = fixture_bytes("fleet exchange", "exchange")
-    assert fleet_codec.decode_sync(samples.FLEET, data) == samples.EXCHANGE
-    assert fleet_codec.encode_sync(samples.FLEET, samples.EXCHANGE) == data
+    assert fleet_codec.decode_sync(samples.FLEET_NAME, data) == samples.PUSH_PULL_SYNC
+    assert fleet_codec.encode_sync(samples.FLEET_NAME, samples.PUSH_PULL_SYNC) == data
 
 
-def test_the_packets_are_of_all_kinds():
+def test_packets_of_all_kinds_are_covered():
     assert DATAGRAMS["fleet packets"].keys() == samples.PACKETS.keys()
     assert sorted(packet.kind for packet in samples.PACKETS.values()) == sorted(PacketKind)
     assert [int(kind) for kind in PacketKind] == list(range(1, 9))
     assert {member.state for member in samples.MEMBERS} == set(MemberState)
-    assert {type(part) for part in samples.PARTS} == {
+    assert {type(message) for message in samples.BUDGET_MESSAGES} == {
         budget_lending.BudgetRequest,
         budget_lending.BudgetGrant,
     }
 
 
-# --- Messages of leases -------------------------------------------------------------------------------
+# --- Lease messages -----------------------------------------------------------------------------------
 @pytest.mark.parametrize("name", DATAGRAMS["leases"])
-def test_a_message_of_leases_is_read_and_written(name):
+def test_a_lease_message_is_read_and_written(name):
     data = fixture_bytes("leases", name)
     assert lease_codec.decode(data) == samples.LEASE_MESSAGES[name]
     assert lease_codec.encode(samples.LEASE_MESSAGES[name]) == data
 
 
-def test_the_messages_of_leases_are_of_all_kinds():
+def test_lease_messages_of_all_kinds_are_covered():
     assert DATAGRAMS["leases"].keys() == samples.LEASE_MESSAGES.keys()
-    assert {type(each) for each in samples.LEASE_MESSAGES.values()} == set(
+    assert {type(message) for message in samples.LEASE_MESSAGES.values()} == set(
         typing.get_args(lease_codec.Message)
     )
     kinds = {leases_pb2.Message.FromString(bytes.fromhex(data)).kind for data in DATAGRAMS["leases"].values()}
@@ -155,7 +155,7 @@
 
 
 def is_lease_kind(kind: int) -> bool:
-    """Whether the codec reads messages of a kind."""
+    """Return whether the codec decodes lease messages of a kind."""
     try:
         lease_codec.decode(leases_pb2.Message(kind=kind).SerializeToString())
     except lease_codec.MalformedMessageError:
@@ -163,25 +163,25 @@
     return True
 
 
-def test_the_log_holds_each_command():
+def test_commands_of_all_kinds_are_covered():
     assert [command.kind for command in samples.COMMANDS] == ["acquire", "renew", "release", "expire"]
 
 
-# --- Messages of recovery -----------------------------------------------------------------------------
+# --- Recovery messages --------------------------------------------------------------------------------
 @pytest.mark.parametrize("name", DATAGRAMS["recovery"])
-def test_a_message_of_recovery_is_written(name):
+def test_a_recovery_message_is_written(name):
     parts = [part.hex() for part in peer_state_codec.encode_message(samples.RECOVERY_MESSAGES[name])]
     assert parts == DATAGRAMS["recovery"][name]
 
 
 @pytest.mark.parametrize("name", ["ask", "word"])
-def test_a_message_of_recovery_is_read(name):
+def test_a_recovery_message_is_read(name):
     (data,) = DATAGRAMS["recovery"][name]
     assert peer_state_codec.decode_message(bytes.fromhex(data)) == samples.RECOVERY_MESSAGES[name]
 
 
-def test_an_answer_in_parts_is_read():
-    """No part alone tells all changes; together they do."""
+def test_a_response_split_into_datagrams_is_read():
+    """No single datagram claims to hold all changes, but together they hold them."""
     whole = samples.RECOVERY_MESSAGES["word in parts"]
     parts = [
         peer_state_codec.decode_message(bytes.fromhex(data))
@@ -190,7 +190,7 @@
     assert len(parts) > 2
     for part in parts:
         assert (part.discovery_address, part.version, part.requested_version, part.is_complete) == (
-            samples.DISCOVERY,
+            samples.DISCOVERY_ADDRESS,
             41,
             40,
             False,
@@ -204,14 +204,14 @@
     )
 
 
-def test_the_messages_of_recovery_are_of_all_kinds():
+def test_recovery_messages_of_all_kinds_are_covered():
     assert DATAGRAMS["recovery"].keys() == samples.RECOVERY_MESSAGES.keys()
-    known = set(typing.get_args(typing.get_type_hints(peer_state_codec.decode_message)["return"]))
-    assert {type(each) for each in samples.RECOVERY_MESSAGES.values()} == known
-    assert {change.status for change in samples.CHANGES} == set(TargetStatus)
+    message_types = set(typing.get_args(typing.get_type_hints(peer_state_codec.decode_message)["return"]))
+    assert {type(message) for message in samples.RECOVERY_MESSAGES.values()} == message_types
+    assert {change.status for change in samples.TARGET_CHANGES} == set(TargetStatus)
 
 
-# --- Tokens among schedulers --------------------------------------------------------------------------
+# --- Token messages between schedulers ----------------------------------------------------------------
 @pytest.mark.parametrize("name", DATAGRAMS["tokens"])
 def test_a_token_message_is_read_and_written(name):
     data = fixture_bytes("tokens", name)
@@ -219,58 +219,58 @@
     assert token_messages.MESSAGE_LAYOUT.pack(*samples.TOKEN_MESSAGES[name]) == data
 
 
-def test_the_token_messages_are_of_all_kinds():
-    assert {each[0] for each in samples.TOKEN_MESSAGES.values()} == {
+def test_token_messages_of_all_kinds_are_covered():
+    assert {message[0] for message in samples.TOKEN_MESSAGES.values()} == {
         token_messages.Kind.REQUEST,
         token_messages.Kind.GRANT,
     }
     assert (token_messages.Kind.REQUEST, token_messages.Kind.GRANT) == (1, 2)
 
 
-def test_a_scheduler_answers_the_ask_with_the_grant():
-    gateway = SchedulerHarness(may_message=True, plans=(plan(limit=100.0, burst=50.0),))
-    gateway.feed(10.0, request(1, volume=17, volume_initiator_count=2))
-    told = gateway.feed(10.1, PeerMessage(1, fixture_bytes("tokens", "ask")))
-    assert told == [SendPeerMessage(1, fixture_bytes("tokens", "grant"))]
+def test_a_scheduler_responds_to_a_token_request_with_a_grant():
+    scheduler = SchedulerHarness(may_message=True, plans=(plan(limit=100.0, burst=50.0),))
+    scheduler.feed(10.0, request(1, volume=17, volume_initiator_count=2))
+    actions = scheduler.feed(10.1, PeerMessage(1, fixture_bytes("tokens", "ask")))
+    assert actions == [SendPeerMessage(1, fixture_bytes("tokens", "grant"))]
 
 
 # --- NVMe PDUs ----------------------------------------------------------------------------------------
 def read_pdu(data: bytes) -> nvme.Pdu:
-    """Read a single PDU."""
+    """Decode the single PDU in the data."""
     reader = nvme.PduReader(nvme.FROM_HOST | nvme.FROM_CONTROLLER)
-    used, found = reader.feed(memoryview(data))
-    assert used == len(data)
-    assert found is not None
-    return found
+    consumed, pdu = reader.feed(memoryview(data))
+    assert consumed == len(data)
+    assert pdu is not None
+    return pdu
 
 
 def test_pdus_are_written_with_the_same_bytes():
     assert {name: data.hex() for name, data in samples.pdus().items()} == DATAGRAMS["nvme"]
-    pages = {name: data.rstrip(b"\0").hex() for name, data in samples.pages().items()}
+    pages = {name: data.rstrip(b"\0").hex() for name, data in samples.identify_pages().items()}
     assert pages == DATAGRAMS["nvme pages"]
 
 
-def test_the_pdus_are_of_all_kinds():
-    found = {read_pdu(bytes.fromhex(data)).kind for data in DATAGRAMS["nvme"].values()}
-    assert found == set(nvme.HEADER_LENGTHS)
+def test_pdus_of_all_kinds_are_covered():
+    kinds = {read_pdu(bytes.fromhex(data)).kind for data in DATAGRAMS["nvme"].values()}
+    assert kinds == set(nvme.HEADER_LENGTHS)
 
 
-def test_pdus_of_a_connection_are_read():
+def test_connection_pdus_are_read():
     assert nvme.parse_ic(read_pdu(fixture_bytes("nvme", "ic request"))) == 2
     assert nvme.parse_ic(read_pdu(fixture_bytes("nvme", "ic response"))) == 65536
     for name in ("h2c term", "c2h term"):
-        found = read_pdu(fixture_bytes("nvme", name))
-        assert (nvme.parse_term(found), found.data) == ((4, 8), b"\x04\x00\x48")
+        pdu = read_pdu(fixture_bytes("nvme", name))
+        assert (nvme.parse_term(pdu), pdu.data) == ((4, 8), b"\x04\x00\x48")
 
 
-def test_pdus_of_data_are_read():
+def test_data_pdus_are_read():
     for name, fields, data, flags in (
         ("h2c data", (9, 4, 512, 4), b"data", 4),
         ("c2h data", (9, 0, 0, 4), b"back", 12),
         ("r2t", (9, 4, 512, 1024), b"", 0),
     ):
-        found = read_pdu(fixture_bytes("nvme", name))
-        assert (nvme.parse_data(found), found.data, found.flags) == (fields, data, flags)
+        pdu = read_pdu(fixture_bytes("nvme", name))
+        assert (nvme.parse_data(pdu), pdu.data, pdu.flags) == (fields, data, flags)
 
 
 def test_commands_are_read():
@@ -285,8 +285,8 @@
 
 
 def test_a_completion_is_read():
-    found = nvme.parse_completion(read_pdu(fixture_bytes("nvme", "response")))
-    assert found == nvme.Completion(cid=7, status=0x181, result=2**33, delay=2, no_retry=True)
+    completion = nvme.parse_completion(read_pdu(fixture_bytes("nvme", "response")))
+    assert completion == nvme.Completion(cid=7, status=0x181, result=2**33, delay=2, no_retry=True)
 
 
 def test_identify_pages_are_read():
