--- a/tests/fleet/rig.py
+++ b/tests/fleet/rig.py
@@ -111,7 +111,9 @@
             f'[leases]\nvoters = {json.dumps(voters)}\nfolder = "{folder}"\n'
             f"ttl_s = {TTL}\nmost_log = 20\n\n"
         )
-        self.config_path.write_text(text.replace("# The settings, with", section + "# The settings, with"))
+        settings_header = "\n[settings]\n"
+        assert text.count(settings_header) == 1, "the configuration has no unique [settings] header"
+        self.config_path.write_text(text.replace(settings_header, f"\n{section}[settings]\n"))
 
     async def start(self) -> None:
         self.process = await asyncio.create_subprocess_exec(
