--- a/stalltiller/adapters/admin_api.py
+++ b/stalltiller/adapters/admin_api.py
@@ -18,19 +18,19 @@
 MAX_BODY_BYTES = 1024
 
 # Receives the request body without surrounding whitespace; returns success, or the response body.
-AdminCall = Callable[[str], bool | bytes]
+AdminHandler = Callable[[str], bool | bytes]
 
 
 class AdminConnection(Connection):
     """Handles one request in the event loop iteration that completes it, then closes the connection."""
 
     def __init__(
-        self, buffers: BufferPool, handlers: dict[tuple[str, str], AdminCall], listener: Listener
+        self, buffers: BufferPool, handlers: dict[tuple[str, str], AdminHandler], listener: Listener
     ) -> None:
         super().__init__(buffers)
         self._handlers = handlers
         self._listener = listener
-        self._reader = http.Reader(response=False, limit=MAX_BODY_BYTES)
+        self._reader = http.Reader(response=False, max_body_bytes=MAX_BODY_BYTES)
         self._has_responded = False
 
     def on_connected(self) -> None:
@@ -50,7 +50,7 @@
         except http.HttpError as error:
             self._respond(error.status)
             return len(data)
-        if self._reader.done:
+        if self._reader.is_complete:
             assert self._reader.head is not None
             self._handle_request(self._reader.head, bytes(self._reader.body))
         return consumed
@@ -107,7 +107,7 @@
         self.abort()
 
 
-def admin_listener(buffers: BufferPool, handlers: dict[tuple[str, str], AdminCall]) -> Listener:
+def admin_listener(buffers: BufferPool, handlers: dict[tuple[str, str], AdminHandler]) -> Listener:
     """Return the listener of the administration API; `handlers` are by method and path.
 
     Over the connection limit, the oldest connection that has sent nothing is closed first.
--- a/stalltiller/adapters/discovery_codec.py
+++ b/stalltiller/adapters/discovery_codec.py
@@ -21,7 +21,7 @@
 
     Guards against a thundering herd: full lists for many initiators that restart at the same time overload
     discovery.  The first poll from a known version does not wait, which soon shows whether the known list is
-    still valid; with `first_waits` it does wait.
+    still valid; with `first_poll_may_wait` it does wait.
     """
 
     def __init__(
@@ -30,23 +30,23 @@
         on_list: Callable[[discovery.TargetList], None],
         poll_wait: float,
         known_version: int | None = None,
-        first_waits: bool = False,
+        first_poll_may_wait: bool = False,
     ) -> None:
         self._host = host
         self._on_list = on_list
         self._poll_wait_ms = round(poll_wait * 1000)
-        self._reader = http.Reader(response=True, limit=http.MAX_ANSWER)
+        self._reader = http.Reader(response=True, max_body_bytes=http.MAX_DISCOVERY_RESPONSE_BYTES)
         self._known_version = known_version
-        self._may_wait = first_waits  # after the first response, or if none is needed soon
+        self._may_wait = first_poll_may_wait  # after the first response, or if none is needed soon
 
-    def call(self, waits: bool = True) -> bytes:
+    def encode_poll(self, may_wait: bool = True) -> bytes:
         """Return the next poll.
 
-        A poll with `waits` False, made after a poll that timed out, soon shows whether discovery is back.
+        A poll with `may_wait` False, made after a poll that timed out, soon shows whether discovery is back.
         """
         self._reader.reset()
-        wait_ms = self._poll_wait_ms if self._may_wait and waits else 0
-        path = discovery.list_path(self._known_version, wait_ms)
+        wait_ms = self._poll_wait_ms if self._may_wait and may_wait else 0
+        path = discovery.target_list_path(self._known_version, wait_ms)
         return http.encode_request("GET", path, {"Host": self._host}, b"")
 
     def feed(self, data: memoryview) -> int:
@@ -62,7 +62,7 @@
         Returns whether the connection stays open, None while the response is incomplete; raises ValueError if
         the response is not a target list or its changes do not apply to the known version.
         """
-        if not self._reader.done:
+        if not self._reader.is_complete:
             return None
         head = self._reader.head
         assert head is not None
--- a/stalltiller/adapters/http_server.py
+++ b/stalltiller/adapters/http_server.py
@@ -60,20 +60,20 @@
             return len(data)
         if self._is_busy:
             return 0  # the next request waits until the response to this one is flushed
-        had_head = self._reader.begun
+        had_head = self._reader.is_head_complete
         try:
             consumed = self._reader.feed(data)
         except http.HttpError as error:
             self._reject_and_close(error.status, str(error))
             return len(data)
-        if self._reader.done:
+        if self._reader.is_complete:
             self._request_timer.cancel()
             self._listener.request_finished(self)
             self._handle_request()
             return consumed
         self._request_timer.start(self._bytes_received, self._on_request_stalled)
         self._listener.request_started(self)
-        if self._reader.begun and not had_head and not self._accept_head():
+        if self._reader.is_head_complete and not had_head and not self._accept_head():
             return len(data)
         if not self._reserve_body(self._reader.length or self._reader.bytes_received):
             self._reject_and_close(503, "no memory left for the body")
@@ -111,7 +111,7 @@
         reserved = size if size > SMALL_BODY_BYTES else 0
         change = reserved - self._body_bytes
         self._body_bytes = reserved
-        return self._server.request_body_budget.adjust(change)
+        return self._server.request_body_budget.adjust_reservation(change)
 
     @property
     def _is_busy(self) -> bool:
@@ -157,7 +157,7 @@
     # --- For the listener ---
     def close_if_idle(self) -> bool:
         """Close between requests and return whether the connection was idle."""
-        if self._is_busy or self._reader.begun:
+        if self._is_busy or self._reader.is_head_complete:
             return False
         if self.half_closed or not self.is_clean():  # a request may be unread in the kernel's buffer
             return False
@@ -176,7 +176,7 @@
 
     def on_request_timeout(self) -> None:
         """Respond with 408 or close: no complete request head has arrived in time."""
-        if self.half_closed or self.is_closing or self._reader.begun:
+        if self.half_closed or self.is_closing or self._reader.is_head_complete:
             return  # `RequestTimer` limits the time for the body
         if not self.close_if_idle():
             self._reject_and_close(408, "request not ended")
@@ -202,7 +202,7 @@
         head = self._reader.head
         assert head is not None
         body = self._reader.body
-        self._http_minor_version = head.minor
+        self._http_minor_version = head.minor_version
         self._keep_alive = head.keeps_alive()
         self._reader.reset()
         if head.target.partition("?")[0] == READY_PATH:
@@ -266,7 +266,9 @@
         self._is_chunked = response.length is None and self._http_minor_version == 1
         has_framing = response.length is not None or self._is_chunked
         self._keep_alive = self._keep_alive and not self._server.stopping and has_framing
-        self.write(http.response_head(200, response.length, None, not self._keep_alive, self._is_chunked))
+        self.write(
+            http.encode_response_head(200, response.length, None, not self._keep_alive, self._is_chunked)
+        )
         self.write_part(response.first_part)
 
     def reject(self, retry_after: float) -> None:
@@ -327,7 +329,7 @@
             self.abort_if_unread(UNREAD_TIMEOUT_SECONDS)
             assert self.transport is not None
             self._unread_bytes = self.transport.get_write_buffer_size()
-            if not self._server.unread_response_budget.adjust(self._unread_bytes):
+            if not self._server.unread_response_budget.adjust_reservation(self._unread_bytes):
                 self.abort()
         if close:
             self.close_gracefully()
@@ -335,7 +337,7 @@
     def _release_unread(self) -> None:
         size = self._unread_bytes
         self._unread_bytes = 0
-        self._server.unread_response_budget.adjust(-size)
+        self._server.unread_response_budget.adjust_reservation(-size)
 
 
 class HttpServer:
--- a/stalltiller/adapters/http_target_client.py
+++ b/stalltiller/adapters/http_target_client.py
@@ -14,7 +14,7 @@
 from stalltiller.adapters.pooled_target_client import RESPONSE_STALL_TIMEOUT_SECONDS, PooledTargetClient
 from stalltiller.adapters.response_stream import ResponseStream
 from stalltiller.protocol import http
-from stalltiller.protocol.platform import AnswerFields
+from stalltiller.protocol.platform import ResponseFields
 from stalltiller.routing.engine import Engine
 from stalltiller.routing.ports import Attempt, AttemptResult
 from stalltiller.scheduling import AttemptStatus, Settings
@@ -58,7 +58,7 @@
         fields = {"Host": payload.host, "X-Request-ID": payload.request_id, "X-Timeout": f"{timeout:.3f}"}
         if payload.deduplication_key is not None:
             fields["Idempotency-Key"] = payload.deduplication_key
-        head = http.request_head(payload.method, payload.target, fields, len(payload.body))
+        head = http.encode_request_head(payload.method, payload.target, fields, len(payload.body))
         if len(payload.body) <= SMALL_BODY_BYTES:
             self.write(head + payload.body)
             return
@@ -102,7 +102,7 @@
         if self._attempt is None:
             self.abort()  # unsolicited bytes: no request is in flight
             return len(data)
-        had_head = self._reader.begun
+        had_head = self._reader.is_head_complete
         try:
             consumed = self._reader.feed(data)
         except http.HttpError as error:
@@ -114,11 +114,11 @@
         self._last_progress_at = self._target_client.loop.time()
         if not had_head:
             self._response_started_at = self._last_progress_at
-        if self._reader.done:
+        if self._reader.is_complete:
             self._finish_response()
-        elif self._reader.begun and self._should_stream():
+        elif self._reader.is_head_complete and self._should_stream():
             self._start_stream()
-        elif self._reader.begun and self._stall_timer is None:
+        elif self._reader.is_head_complete and self._stall_timer is None:
             self._stall_timer = self._target_client.loop.call_later(
                 RESPONSE_STALL_TIMEOUT_SECONDS, self._check_stall
             )
@@ -136,7 +136,7 @@
     def on_disconnected(self, error: Exception | None) -> None:
         """End the response or the attempt; only a response delimited by the connection's end is complete."""
         # A reset never completes a response.
-        is_complete = error is None and self._reader.begun and self._reader.finish()
+        is_complete = error is None and self._reader.is_head_complete and self._reader.finish()
         if self._stream is not None:
             if is_complete:
                 self._finish_stream(reuse=False)
@@ -150,7 +150,7 @@
             self._finish_response()
             return
         # Only a connection lost before the last byte was written proves that the target did not execute it.
-        never_executed = not self.is_fully_sent() and not self._reader.begun
+        never_executed = not self.is_fully_sent() and not self._reader.is_head_complete
         status = AttemptStatus.CONNECT_FAILED if never_executed else AttemptStatus.RESET
         self._finish_attempt(AttemptResult(status), reuse=False)
 
@@ -158,7 +158,7 @@
         """Reserve memory for the body received so far; return whether the total is within the budget."""
         change = size - self._reserved_bytes
         self._reserved_bytes = size
-        return self._target_client.response_budget.adjust(change)
+        return self._target_client.response_budget.adjust_reservation(change)
 
     # --- The end of an attempt ---
     def _finish_response(self) -> None:
@@ -167,13 +167,13 @@
         response_info = self._target_client.response_fields.parse(head)
         body = bytes(self._reader.body) if response_info.status is AttemptStatus.OK else None
         # After a response that precedes the end of the request the state of the connection is unknown.
-        reuse = head.keeps_alive() and self._reader.done and self.is_fully_sent()
+        reuse = head.keeps_alive() and self._reader.is_complete and self.is_fully_sent()
         self._finish_attempt(
             AttemptResult(response_info.status, body, response_info.other_units, response_info.report), reuse
         )
 
     def _fail_attempt(self, text: str) -> None:
-        self._target_client.log_bad_response(self._attempt, text)
+        self._target_client.report_failed_response(self._attempt, text)
         self._finish_attempt(AttemptResult(AttemptStatus.ERROR), reuse=False)
 
     def _finish_attempt(self, result: AttemptResult, reuse: bool) -> None:
@@ -181,7 +181,7 @@
         assert attempt is not None
         self._attempt = None
         self._unsent_body = memoryview(b"")
-        is_lost = result.status is AttemptStatus.RESET and not self._reader.begun
+        is_lost = result.status is AttemptStatus.RESET and not self._reader.is_head_complete
         self._target_client.pool.record_use(attempt, is_lost)
         self._reader.reset()
         self._reserve(0)
@@ -223,7 +223,7 @@
         self._attempt = None
         self._streamed_attempt = attempt
         self._last_progress_at = self._target_client.loop.time()
-        stream = ResponseStream(self, self._reader.length, self._reader.drain())
+        stream = ResponseStream(self, self._reader.length, self._reader.take_body())
         self._stream = stream
         self._reserve(0)
         self._target_client.pool.record_use(attempt, False)
@@ -233,7 +233,7 @@
         if stream.sink is None:  # the client had disconnected
             self.abort_stream()
         elif not stream.is_sink_ready:
-            self._pause()
+            self._pause_reading()
         self._restart_stream_timer()
 
     def _forward(self, data: memoryview) -> int:
@@ -241,11 +241,11 @@
         try:
             consumed = self._reader.feed(data)
         except http.HttpError as error:
-            self._target_client.log_bad_response(self._streamed_attempt, str(error))
+            self._target_client.report_failed_response(self._streamed_attempt, str(error))
             self._fail_stream()
             return len(data)
-        body = self._reader.drain()
-        is_complete = self._reader.done
+        body = self._reader.take_body()
+        is_complete = self._reader.is_complete
         if body:
             assert self._stream is not None and self._stream.sink is not None
             self._stream.sink.write_part(body)
@@ -253,7 +253,7 @@
             assert self._reader.head is not None
             self._finish_stream(self._reader.head.keeps_alive() and self.is_fully_sent())
         elif self._stream is not None and not self._stream.is_sink_ready:
-            self._pause()
+            self._pause_reading()
         return consumed
 
     def _finish_stream(self, reuse: bool) -> None:
@@ -304,7 +304,7 @@
         if self._stream is not None:
             self._check_stream_stall(self._stream)
             return
-        if self._attempt is None or not self._reader.begun:
+        if self._attempt is None or not self._reader.is_head_complete:
             return
         remaining = self._last_progress_at + RESPONSE_STALL_TIMEOUT_SECONDS - self._target_client.loop.time()
         if remaining > 0:
@@ -315,7 +315,9 @@
     def _check_stream_stall(self, stream: ResponseStream) -> None:
         time_since_progress = self._target_client.loop.time() - self._last_progress_at
         if stream.is_sink_ready and time_since_progress >= STREAM_STALL_TIMEOUT_SECONDS:
-            self._target_client.log_bad_response(self._streamed_attempt, "the streamed response stalled")
+            self._target_client.report_failed_response(
+                self._streamed_attempt, "the streamed response stalled"
+            )
             self._fail_stream()
         else:
             self._restart_stream_timer()
@@ -334,21 +336,28 @@
         engine: Engine,
         buffers: BufferPool,
         connect_timeout: float,
-        idle_limit: float,
+        idle_timeout: float,
         max_channels: int,
         log: Callable[..., None],
         settings: Settings,
         max_response_bytes: int,
     ) -> None:
         super().__init__(
-            loop, engine, buffers, connect_timeout, idle_limit, max_channels, log, AVOIDED_IDLE_RANGE_SECONDS
+            loop,
+            engine,
+            buffers,
+            connect_timeout,
+            idle_timeout,
+            max_channels,
+            log,
+            AVOIDED_IDLE_RANGE_SECONDS,
         )
         self.response_budget = MemoryBudget(max_response_bytes)
         self.update_settings(settings)
 
     def update_settings(self, settings: Settings) -> None:
         """Apply new settings from the next response on."""
-        self.response_fields = AnswerFields(settings)
+        self.response_fields = ResponseFields(settings)
 
     async def connect(self, host: str, port: int) -> TargetConnection:
         """Open a connection to a target; raises OSError if it can't be reached."""
--- a/stalltiller/adapters/nvme_controller.py
+++ b/stalltiller/adapters/nvme_controller.py
@@ -91,10 +91,10 @@
 
     def reserve(self, io_command: IoCommand) -> bool:
         """Reserve memory for a command's data; return False, reserving nothing, at a limit."""
-        has_memory = self.command_data_budget.adjust(io_command.size)
+        has_memory = self.command_data_budget.adjust_reservation(io_command.size)
         if has_memory and self.engine.open_request_count < MAX_COMMANDS_IN_FLIGHT:
             return True
-        self.command_data_budget.adjust(-io_command.size)
+        self.command_data_budget.adjust_reservation(-io_command.size)
         return False
 
     def submit(self, io_command: IoCommand) -> None:
--- a/stalltiller/adapters/nvme_host_queue.py
+++ b/stalltiller/adapters/nvme_host_queue.py
@@ -138,7 +138,7 @@
     def _reserve_unread(self, size: int) -> bool:
         byte_delta = size - self._unread_bytes
         self._unread_bytes = size
-        return self.controller.unread_response_budget.adjust(byte_delta)
+        return self.controller.unread_response_budget.adjust_reservation(byte_delta)
 
     # --- For the association and its commands ---
     def cancel_commands(self) -> None:
@@ -178,7 +178,7 @@
             nvme.parse_ic(pdu)
             self._is_initialized = True
             self.write(nvme.ic_response())
-        elif pdu.kind == nvme.CAPSULE:
+        elif pdu.kind == nvme.COMMAND_CAPSULE:
             self._handle_command(nvme.parse_command(pdu), pdu.data)
         elif pdu.kind == nvme.H2C_DATA:
             self._handle_data(pdu)
@@ -186,7 +186,7 @@
             raise nvme.PduError("ICReq received twice", nvme.BAD_SEQUENCE)
 
     def _handle_command(self, command: nvme.Command, data: bytes) -> None:
-        if len(data) > nvme.IN_CAPSULE:
+        if len(data) > nvme.MAX_IN_CAPSULE_BYTES:
             raise nvme.PduError(
                 "in-capsule data exceeds the advertised limit", nvme.BAD_FIELD, FEI_CAPSULE_LENGTH
             )
@@ -216,12 +216,14 @@
         if subsystem != self.controller.mapping.subsystem:
             return nvme.BAD_CONNECT
         if queue_id == 0:
-            if controller_id != nvme.DYNAMIC or not _is_valid_size(entry_count, nvme.MAX_ADMIN_QUEUE_ENTRIES):
+            if controller_id != nvme.DYNAMIC_CONTROLLER_ID or not _is_valid_size(
+                entry_count, nvme.MAX_ADMIN_QUEUE_ENTRIES
+            ):
                 return nvme.BAD_CONNECT
             keep_alive_timeout = command.u32(CONNECT_KEEP_ALIVE_MS_OFFSET) / 1000
             association = self.controller.create_association(keep_alive_timeout)
             if association is None:
-                return nvme.BUSY
+                return nvme.CONTROLLER_BUSY
         else:
             association = self._find_association(controller_id, queue_id, entry_count)
             if association is None:
@@ -256,7 +258,9 @@
             return
         io_command = IoCommand(self, command, namespace, self.controller.loop.time())
         if not self.controller.reserve(io_command):
-            self.send_completion(nvme.Completion(command.cid, nvme.NOT_READY, delay=BUSY_RETRY_DELAY_INDEX))
+            self.send_completion(
+                nvme.Completion(command.cid, nvme.NAMESPACE_NOT_READY, delay=BUSY_RETRY_DELAY_INDEX)
+            )
             return
         self.commands[command.cid] = io_command
         if io_command.is_write and command.sgl_type != nvme.IN_CAPSULE_SGL:
@@ -273,7 +277,7 @@
             return nvme.BAD_NAMESPACE
         if command.lba + command.blocks > namespace.blocks:
             return nvme.OUT_OF_LBA
-        if command.length != command.blocks * namespace.block_size or command.length > nvme.MAX_DATA:
+        if command.length != command.blocks * namespace.block_size or command.length > nvme.MAX_DATA_BYTES:
             return nvme.INVALID_FIELD
         return nvme.OK
 
@@ -312,7 +316,7 @@
         if len(io_command.data) == io_command.size:
             io_command.data_timer.cancel()
             self.controller.submit(io_command)
-        elif pdu.flags & nvme.LAST:
+        elif pdu.flags & nvme.LAST_PDU_FLAG:
             raise nvme.PduError(
                 "last data PDU ends before the requested length", nvme.OUT_OF_RANGE, FEI_DATA_LENGTH
             )
--- a/stalltiller/adapters/nvme_io_command.py
+++ b/stalltiller/adapters/nvme_io_command.py
@@ -39,19 +39,21 @@
         """Whether the command is a Write."""
         return self.command.opcode == nvme.WRITE
 
-    def complete(self, data: bytes) -> None:
-        """Send the data of a read, if any, and a successful completion."""
-        if data:
-            self.queue.write(nvme.data_pdu(nvme.C2H_DATA, self.command.cid, 0, 0, data))
+    def complete(self, response: bytes) -> None:
+        """Send `response`, the data of a read, if any, and a successful completion."""
+        if response:
+            self.queue.write(nvme.data_pdu(nvme.C2H_DATA, self.command.cid, 0, 0, response))
         self._send_completion()
 
     def reject(self, retry_after: float) -> None:
         """Complete as retryable, with the delay closest to `retry_after` seconds; nothing was executed."""
-        self._send_completion(nvme.NOT_READY, delay=self.queue.controller.retry_delay_index(retry_after))
+        self._send_completion(
+            nvme.NAMESPACE_NOT_READY, delay=self.queue.controller.retry_delay_index(retry_after)
+        )
 
     def fail(self) -> None:
         """Complete as failed; a write may have been executed, so the host must not retry it."""
-        self._send_completion(nvme.INTERNAL, no_retry=self.is_write)
+        self._send_completion(nvme.INTERNAL_ERROR, no_retry=self.is_write)
 
     def is_disconnected(self) -> bool:
         """Return whether the host has closed the queue's connection."""
@@ -72,6 +74,6 @@
     def _release(self) -> None:
         """Remove the command from its queue and release its memory reservation."""
         if self.queue.commands.pop(self.command.cid, None) is not None:
-            self.queue.controller.command_data_budget.adjust(-self.size)
+            self.queue.controller.command_data_budget.adjust_reservation(-self.size)
         if self.data_timer is not None:
             self.data_timer.cancel()
--- a/stalltiller/adapters/nvme_target_client.py
+++ b/stalltiller/adapters/nvme_target_client.py
@@ -105,7 +105,7 @@
         status = _attempt_status(completion, len(data) == attempt.payload.read_size)
         if self._io_queue.error is not None:
             status = AttemptStatus.ERROR
-            self._target_client.log_bad_response(attempt, str(self._io_queue.error))
+            self._target_client.report_failed_response(attempt, str(self._io_queue.error))
         self._target_client.pool.record_use(attempt, status is AttemptStatus.RESET)
         if completion is not None and not self.is_closing:
             self._target_client.pool.release(attempt, self)
@@ -133,7 +133,7 @@
         return AttemptStatus.RESET
     if completion.status == nvme.OK and has_all_data:
         return AttemptStatus.OK
-    if completion.status == nvme.NOT_READY and not completion.no_retry:
+    if completion.status == nvme.NAMESPACE_NOT_READY and not completion.no_retry:
         return AttemptStatus.REJECTED
     return AttemptStatus.ERROR
 
@@ -159,14 +159,14 @@
         engine: Engine,
         buffers: BufferPool,
         connect_timeout: float,
-        idle_limit: float,
+        idle_timeout: float,
         max_connections: int,
         log: Callable[..., None],
         name: str,
         mapping: Mapping,
     ) -> None:
         max_channels = max_connections // CONNECTIONS_PER_ASSOCIATION
-        super().__init__(loop, engine, buffers, connect_timeout, idle_limit, max_channels, log)
+        super().__init__(loop, engine, buffers, connect_timeout, idle_timeout, max_channels, log)
         self._host_nqn = HOST_NQN_PREFIX + name
         self._mapping = mapping
         self._host_id = os.urandom(16)  # sent in Connect; the initiator's behaviour does not depend on it
@@ -185,7 +185,7 @@
         """Open both queues, adding each to `queues` once it is connected, and enable the controller."""
         admin_queue = await self._open_queue(host, port, queues)
         completion, _ = await admin_queue.execute(
-            lambda cid: self._connect_command(cid, ADMIN_QUEUE_ID, nvme.DYNAMIC)
+            lambda cid: self._connect_command(cid, ADMIN_QUEUE_ID, nvme.DYNAMIC_CONTROLLER_ID)
         )
         controller_id = completion.result & CONTROLLER_ID_MASK
         await admin_queue.execute(
@@ -195,9 +195,12 @@
             await asyncio.sleep(READY_POLL_SECONDS)
         _, page = await admin_queue.execute(
             lambda cid: nvme.command(
-                nvme.IDENTIFY, cid, rest=bytes([nvme.CNS_CONTROLLER]), length=nvme.IDENTIFY_SIZE
+                nvme.IDENTIFY,
+                cid,
+                command_dwords=bytes([nvme.CNS_CONTROLLER]),
+                length=nvme.IDENTIFY_DATA_BYTES,
             ),
-            read_size=nvme.IDENTIFY_SIZE,
+            read_size=nvme.IDENTIFY_DATA_BYTES,
         )
         io_queue = await self._open_queue(host, port, queues)
         await io_queue.execute(lambda cid: self._connect_command(cid, IO_QUEUE_ID, controller_id))
--- a/stalltiller/adapters/nvme_target_queue.py
+++ b/stalltiller/adapters/nvme_target_queue.py
@@ -37,7 +37,7 @@
         self._read_size = 0  # data bytes expected from the target
         self._last_progress_at = 0.0  # time of the last bytes received for a read
         self._stall_timer: asyncio.TimerHandle | None = None
-        self._max_pdu_data = nvme.MAX_DATA
+        self._max_pdu_data = nvme.MAX_DATA_BYTES
         self._initialized: asyncio.Future[None] | None = None
         self.error: nvme.PduError | None = None
         self.on_connection_lost: Callable[[], None] | None = None
@@ -144,9 +144,9 @@
         elif pdu.kind == nvme.IC_RESP:
             if self._initialized is None or self._initialized.done():
                 raise nvme.PduError("unexpected ICResp", nvme.BAD_SEQUENCE)
-            self._max_pdu_data = min(nvme.MAX_DATA, max(nvme.MEMORY_PAGE_BYTES, nvme.parse_ic(pdu)))
+            self._max_pdu_data = min(nvme.MAX_DATA_BYTES, max(nvme.MEMORY_PAGE_BYTES, nvme.parse_ic(pdu)))
             self._initialized.set_result(None)
-        elif pdu.kind == nvme.RESPONSE:
+        elif pdu.kind == nvme.RESPONSE_CAPSULE:
             completion = nvme.parse_completion(pdu)
             self._check_in_flight(completion.cid)
             self._finish_command(completion)
@@ -165,7 +165,7 @@
                 "data out of order or beyond the expected length", nvme.OUT_OF_RANGE, FEI_DATA_OFFSET
             )
         self._read_data += pdu.data
-        if pdu.flags & nvme.SUCCESS:
+        if pdu.flags & nvme.SUCCESS_FLAG:
             self._finish_command(nvme.Completion(cid))
 
     def _check_in_flight(self, cid: int) -> None:
@@ -180,7 +180,7 @@
             )
         for piece_offset in range(offset, end_offset, self._max_pdu_data):
             piece = self._write_data[piece_offset : min(end_offset, piece_offset + self._max_pdu_data)]
-            flags = nvme.LAST if piece_offset + len(piece) == end_offset else 0
+            flags = nvme.LAST_PDU_FLAG if piece_offset + len(piece) == end_offset else 0
             self.write(nvme.data_pdu(nvme.H2C_DATA, self._command_id, tag, piece_offset, piece, flags))
 
     def _finish_command(self, completion: nvme.Completion | None) -> None:
--- a/stalltiller/adapters/pooled_target_client.py
+++ b/stalltiller/adapters/pooled_target_client.py
@@ -18,7 +18,7 @@
 class PooledTargetClient:
     """Sends attempts to targets on pooled channels; subclasses open the channels.
 
-    `connect_timeout` and `idle_limit` are in seconds; `max_channels` bounds the channels to all targets
+    `connect_timeout` and `idle_timeout` are in seconds; `max_channels` bounds the channels to all targets
     together.  A channel whose idle time in seconds is within `avoided_idle_range` is not reused if another is
     available.
     """
@@ -29,7 +29,7 @@
         engine: Engine,
         buffers: BufferPool,
         connect_timeout: float,
-        idle_limit: float,
+        idle_timeout: float,
         max_channels: int,
         log: Callable[..., None],
         avoided_idle_range: tuple[float, float] = (0.0, 0.0),
@@ -43,7 +43,7 @@
             self.connect,
             self._on_unreachable,
             connect_timeout,
-            idle_limit,
+            idle_timeout,
             max_channels,
             avoided_idle_range,
         )
@@ -68,7 +68,7 @@
         """Close the idle channels to a target."""
         self.pool.close_idle(target_id)
 
-    def log_bad_response(self, attempt: Attempt | None, text: str) -> None:
+    def report_failed_response(self, attempt: Attempt | None, text: str) -> None:
         """Count and log a response that is malformed, stalled or too large; only its attempt fails."""
         self.engine.counts["bad_answers"] += 1
         self._log("bad_response", target=attempt.target_id if attempt else None, text=text)
--- a/stalltiller/common/keyed_queues.py
+++ b/stalltiller/common/keyed_queues.py
@@ -36,6 +36,6 @@
         if key:
             self._paused_until[key] = max(self._paused_until.get(key, 0.0), until)
 
-    def forget_pauses(self, now: float) -> None:
+    def remove_expired_pauses(self, now: float) -> None:
         """Remove the pauses that have ended."""
         self._paused_until = {key: until for key, until in self._paused_until.items() if until > now}
--- a/stalltiller/daemon/admin_calls.py
+++ b/stalltiller/daemon/admin_calls.py
@@ -12,7 +12,7 @@
 
 # A call takes the request's body and returns whether it succeeded, or the response's body.  It raises OSError
 # if its effect could not be persisted; the effect is then not applied.
-AdminCall = Callable[[str], bool | bytes]
+AdminHandler = Callable[[str], bool | bytes]
 MethodAndPath = tuple[str, str]
 
 
@@ -22,7 +22,7 @@
     def __init__(self, application: Application) -> None:
         self._application = application
 
-    def routes(self) -> dict[MethodAndPath, AdminCall]:
+    def routes(self) -> dict[MethodAndPath, AdminHandler]:
         """Return the calls, keyed by method and path of their requests."""
         return {
             ("GET", "/_ready"): self._is_ready,
--- a/stalltiller/daemon/config.py
+++ b/stalltiller/daemon/config.py
@@ -156,7 +156,7 @@
     """Parse the scheduler's settings from a file's `settings` object; raises ConfigError."""
     _check_positive(nested)
     try:
-        settings = codec.settings_of(dict(flatten(nested)))
+        settings = codec.settings_from_options(dict(flatten(nested)))
     except (codec.WireError, ValueError, OverflowError) as error:
         raise ConfigError(str(error), key="settings") from error
     if not settings.classes or not settings.plans:
--- a/stalltiller/daemon/discovery_watch.py
+++ b/stalltiller/daemon/discovery_watch.py
@@ -54,7 +54,7 @@
             self._on_list,
             backoff_policy.poll_wait,
             known_version,
-            self._recovery is not None and self._recovery.first_call_waits,
+            self._recovery is not None and self._recovery.first_poll_may_wait,
         )
         poll_policy: PollPolicy = backoff_policy
         if self._recovery is not None:
--- a/stalltiller/daemon/graceful_shutdown.py
+++ b/stalltiller/daemon/graceful_shutdown.py
@@ -16,7 +16,7 @@
 KEEP_LISTENING_SECONDS = 0.5  # after SIGTERM, even without open requests: clients are notified late
 MAX_DEADLINE_SECONDS = 3.0  # upper limit of the class deadlines considered
 DEADLINE_MARGIN_SECONDS = 0.1  # past the longest deadline, the drain ends and open requests are finished
-CLOSING_SECONDS = 0.5  # from the first closing of idle connections to the end of the drain
+CLOSE_IDLE_BEFORE_END_SECONDS = 0.5  # from the first closing of idle connections to the end of the drain
 LINGER_SECONDS = 0.4  # after the drain, for clients to read the last responses and close
 DRAIN_POLL_INTERVAL_SECONDS = 0.02
 LINGER_POLL_INTERVAL_SECONDS = 0.01
@@ -51,10 +51,10 @@
         if has_successor:
             await self._yield_to_successor()
         await asyncio.sleep(KEEP_LISTENING_SECONDS)
-        while self._loop.time() < end_time - CLOSING_SECONDS and self._is_in_use():
+        while self._loop.time() < end_time - CLOSE_IDLE_BEFORE_END_SECONDS and self._is_in_use():
             await asyncio.sleep(DRAIN_POLL_INTERVAL_SECONDS)
         # Without a successor, connections in the kernel's backlog are accepted and served too.
-        await self._listener.stop(take_in=not has_successor)
+        await self._listener.stop(accept_backlog=not has_successor)
         self._adapters.server.stopping = True  # connections close after their next response
         while self._loop.time() < end_time and self._is_in_use():
             self._listener.close_idle()
@@ -64,7 +64,7 @@
 
     async def _yield_to_successor(self) -> None:
         """Let the next process accept clients; here connections close after their next response."""
-        await self._listener.stop(take_in=False)
+        await self._listener.stop(accept_backlog=False)
         self._adapters.server.stopping = True
         self._engine.deactivate()
         self._handover.release_lock()
--- a/stalltiller/daemon/lease_service.py
+++ b/stalltiller/daemon/lease_service.py
@@ -72,7 +72,7 @@
         membership.handlers[PacketKind.LEASES] = self._handle_packet
         self.client = LeaseClient(
             name,
-            membership.swim.me.start_time_ms,
+            membership.swim.local_member.start_time_ms,
             config.voters,
             {FLEET_TOTALS_LEASE: config.ttl},
             self._send,
@@ -84,7 +84,7 @@
         token = self.client.fencing_token(FLEET_TOTALS_LEASE)
         if not token:
             return {}
-        members = [self._membership.swim.me, *self._membership.swim.table.others]
+        members = [self._membership.swim.local_member, *self._membership.swim.table.other_running_members]
         return {
             "fleet_members": len(members),
             "fleet_open": sum(member.load for member in members),
@@ -114,7 +114,7 @@
             return
         member = self._membership.swim.table.known.get(receiver)
         if member is not None:  # dead members included: they may have restarted already
-            packet = Packet(PacketKind.LEASES, self._membership.swim.me, body=codec.encode(message))
+            packet = Packet(PacketKind.LEASES, self._membership.swim.local_member, body=codec.encode(message))
             self._membership.send(member.address, packet)
 
     def _handle_packet(self, packet: Packet) -> None:
--- a/stalltiller/daemon/list_poll_policy.py
+++ b/stalltiller/daemon/list_poll_policy.py
@@ -22,9 +22,9 @@
         self._coordinator = coordinator
         self._schedule = PollSchedule(standalone_policy.poll_wait, random.Random())
 
-    def timeout(self, waits: bool) -> float:
-        """Return the timeout of a call and its response; `waits`: the call may wait for changes."""
-        return self._standalone_policy.timeout(waits)
+    def timeout(self, may_wait: bool) -> float:
+        """Return the timeout of a call and its response; `may_wait`: the call may wait for changes."""
+        return self._standalone_policy.timeout(may_wait)
 
     def initial_delay(self) -> float:
         """Return 0 if the first call may be made now, else the seconds until the next check."""
--- a/stalltiller/daemon/operator_config.py
+++ b/stalltiller/daemon/operator_config.py
@@ -131,7 +131,7 @@
     table: dict, namespace_id: int, block_bytes: int, plan_indices: dict[str, int]
 ) -> nvme_mapping.Namespace:
     key = f"namespace {namespace_id}"
-    if block_bytes & (block_bytes - 1) or not MIN_BLOCK_BYTES <= block_bytes <= nvme.MAX_DATA:
+    if block_bytes & (block_bytes - 1) or not MIN_BLOCK_BYTES <= block_bytes <= nvme.MAX_DATA_BYTES:
         raise ConfigError("block_size must be a power of two from 512 to 64 KiB", key=key)
     if table["plan"] not in plan_indices:
         raise ConfigError(f"unknown plan: {table['plan']}", key=key)
--- a/stalltiller/daemon/peer_state_exchange.py
+++ b/stalltiller/daemon/peer_state_exchange.py
@@ -33,7 +33,7 @@
         build_response: Callable[[PeerStateRequest], PeerState | None],
         handle_peer_state: Callable[[PeerState], None],
     ) -> None:
-        own_address = membership.swim.me.address
+        own_address = membership.swim.local_member.address
         self._membership = membership
         self._cached_peers = [address for address in cached_peers if address != own_address]
         self._build_request = build_request
@@ -55,14 +55,14 @@
         request = self._build_request()
         if request is None:
             return
-        members = self._membership.swim.table.others
+        members = self._membership.swim.table.other_running_members
         peers = [member.address for member in members] or self._cached_peers
         for address in random.sample(peers, min(PEERS_PER_REQUEST, len(peers))):
             self._send(address, request)
 
     def _send(self, address: Address, message: PeerStateMessage) -> None:
         for body in encode_message(message):
-            packet = Packet(PacketKind.RECOVERY, self._membership.swim.me, body=body)
+            packet = Packet(PacketKind.RECOVERY, self._membership.swim.local_member, body=body)
             self._membership.send(address, packet)
 
     def _handle_packet(self, packet: Packet) -> None:
--- a/stalltiller/daemon/recovery_coordinator.py
+++ b/stalltiller/daemon/recovery_coordinator.py
@@ -100,14 +100,14 @@
         """This initiator's current view of the fleet."""
         if self._membership is None:
             return FleetView()
-        members = [self._membership.swim.me, *self._membership.swim.table.others]
+        members = [self._membership.swim.local_member, *self._membership.swim.table.other_running_members]
         start_times = {member.name: member.start_time_ms / 1000 for member in members}
         return FleetView.from_start_times(self._name, start_times)
 
     @property
     def peers(self) -> tuple[PeerAddress, ...]:
         """The other running members, or those of the snapshot if no running one is known."""
-        others = [] if self._membership is None else self._membership.swim.table.others
+        others = [] if self._membership is None else self._membership.swim.table.other_running_members
         return tuple(PeerAddress(member.name, *member.address) for member in others) or (
             self.load_baseline.peers
         )
--- a/stalltiller/daemon/recovery_service.py
+++ b/stalltiller/daemon/recovery_service.py
@@ -102,7 +102,7 @@
         self._check_readiness: Callable[[], bool] = self.is_ready
 
     @property
-    def first_call_waits(self) -> bool:
+    def first_poll_may_wait(self) -> bool:
         """Whether the first list call waits for changes, as later ones do.
 
         In a fleet, peers report the changes, and an additional call from each restarted member would double
--- a/stalltiller/fleet/member_table.py
+++ b/stalltiller/fleet/member_table.py
@@ -78,7 +78,8 @@
         self.state_changed_at: dict[str, float] = {local_member.name: 0.0}  # on this member's clock
         self.rejected_count = 0  # updates with an unknown name, rejected because the table was full
         self._max_members = max_members
-        self._running_others: list[Member] | None = None  # cache of `others`; None: invalidated
+        # The cache of `other_running_members`; None: invalidated.
+        self._other_running_members: list[Member] | None = None
 
     def merge(self, now: float, update: Member) -> bool:
         """Merge an update about another member; return whether it changed the table.
@@ -94,7 +95,7 @@
         if known is None or known.state is not update.state or known.start_time_ms != update.start_time_ms:
             self.state_changed_at[update.name] = now
         self.known[update.name] = update
-        self._running_others = None
+        self._other_running_members = None
         return True
 
     def _may_add(self, update: Member) -> bool:
@@ -114,25 +115,25 @@
         """Forget a member; raises KeyError if it is not known."""
         del self.known[name]
         del self.state_changed_at[name]
-        self._running_others = None
+        self._other_running_members = None
 
     def update_load(self, name: str, start_time_ms: int, load: int) -> None:
         """Set the load that a member reported of itself; ignored if another process of that name sent it."""
         known = self.known.get(name)
         if known is not None and known.start_time_ms == start_time_ms and known.load != load:
             self.known[name] = replace(known, load=load)
-            self._running_others = None
+            self._other_running_members = None
 
     @property
-    def others(self) -> list[Member]:
+    def other_running_members(self) -> list[Member]:
         """All other running members, including suspects, sorted by name."""
-        if self._running_others is None:
-            self._running_others = [
+        if self._other_running_members is None:
+            self._other_running_members = [
                 self.known[name]
                 for name in sorted(self.known)
                 if name != self.local_member.name and self.known[name].is_running
             ]
-        return self._running_others
+        return self._other_running_members
 
     @property
     def stopped_members(self) -> list[Member]:
@@ -146,4 +147,4 @@
     @property
     def running_count(self) -> int:
         """The number of running members, including this one."""
-        return len(self.others) + 1
+        return len(self.other_running_members) + 1
--- a/stalltiller/fleet/membership_agent.py
+++ b/stalltiller/fleet/membership_agent.py
@@ -139,7 +139,7 @@
             "fleet_started",
             fleet=self.config.fleet,
             listen=f"{host}:{port}",
-            start_time_ms=self.swim.me.start_time_ms,
+            start_time_ms=self.swim.local_member.start_time_ms,
         )
         self._schedule_tick()
 
@@ -147,7 +147,7 @@
         """Announce to the other members that this one leaves, and wait while that is gossiped."""
         if not self.swim.has_left:
             self._execute(self.swim.leave(self._loop.time()))
-            self._log("fleet_left", start_time_ms=self.swim.me.start_time_ms)
+            self._log("fleet_left", start_time_ms=self.swim.local_member.start_time_ms)
             await asyncio.sleep(LEAVE_GOSSIP_SECONDS)
 
     def close(self) -> None:
--- a/stalltiller/fleet/shared_budgets.py
+++ b/stalltiller/fleet/shared_budgets.py
@@ -72,7 +72,7 @@
     def send_peer_message(self, initiator_index: int | None, data: bytes) -> None:
         """Send a message to the scheduler of one initiator, or of all (None); it may be lost."""
         now = self._loop.time()
-        for member in self._agent.swim.table.others:
+        for member in self._agent.swim.table.other_running_members:
             if initiator_index is None or member.initiator_index == initiator_index:
                 if not self._peer_message_limiter.allow(now):
                     self.counts["letters_lost"] += 1
@@ -93,7 +93,7 @@
         self._timer = self._loop.call_later(LOAN_REQUEST_INTERVAL_SECONDS, self._request_loans)
         now = self._loop.time()
         self._update_needs(now)
-        others = {member.name: member for member in self._agent.swim.table.others}
+        others = {member.name: member for member in self._agent.swim.table.other_running_members}
         requests = sorted(self._ledger.due_requests(now, list(others)), key=itemgetter(0))
         for lender, group in itertools.groupby(requests, key=itemgetter(0)):
             if lender in others:  # the lender of a loan to renew may have stopped
@@ -141,7 +141,7 @@
     ) -> None:
         packet = Packet(
             PacketKind.SHARED_BUDGETS,
-            self._agent.swim.me,
+            self._agent.swim.local_member,
             budget_messages=budget_messages,
             peer_message=peer_message,
         )
--- a/stalltiller/fleet/swim.py
+++ b/stalltiller/fleet/swim.py
@@ -92,7 +92,7 @@
         self._call_later(FORGET_CHECK_SECONDS, self._forget_stopped)
 
     @property
-    def me(self) -> Member:
+    def local_member(self) -> Member:
         """This member's current state."""
         return self.table.local_member
 
@@ -117,7 +117,7 @@
         self.table.update_load(sender.name, sender.start_time_ms, sender.load)
         for update in packet.updates:
             self._handle_update(update)
-        if packet.kind is PacketKind.PING and packet.target == self.me.name:
+        if packet.kind is PacketKind.PING and packet.target == self.local_member.name:
             self._send(sender.address, PacketKind.ACK, packet.number, priority_update=sender.name)
         elif packet.kind is PacketKind.PING_REQUEST:
             self._start_indirect_probe(sender.address, packet)
@@ -141,20 +141,23 @@
     def full_state(self) -> PushPullSync:
         """Return this member's view of the fleet, to send to another member."""
         names = sorted(self.table.known)
-        return PushPullSync(self.me, tuple(self.table.known[name] for name in names if name != self.me.name))
+        return PushPullSync(
+            self.local_member,
+            tuple(self.table.known[name] for name in names if name != self.local_member.name),
+        )
 
     def leave(self, now: float) -> list[Action]:
         """Announce that this member leaves; it no longer refutes updates about itself."""
         self._begin_event(now)
         self.has_left = True
-        self._update_local_member(replace(self.me, state=MemberState.LEFT))
+        self._update_local_member(replace(self.local_member, state=MemberState.LEFT))
         for member in self._random_others(2 * self.settings.gossip_fanout):
-            self._send(member.address, PacketKind.GOSSIP, priority_update=self.me.name)
+            self._send(member.address, PacketKind.GOSSIP, priority_update=self.local_member.name)
         return self._take_actions()
 
     def set_load(self, load: int) -> None:
         """Set this member's load, which every packet carries."""
-        self.table.set_local_member(replace(self.me, load=load))
+        self.table.set_local_member(replace(self.local_member, load=load))
 
     # --- Timers, actions and packets ----------------------------------------------------------------
     def _begin_event(self, now: float) -> None:
@@ -169,7 +172,7 @@
             for suspicion in self._suspicions.values():
                 suspicion.stalled_seconds += delay
             self.health.adjust(1 + int(delay / self.settings.probe_interval_seconds))
-            self._report(MemberEventKind.STALLED, self.me)
+            self._report(MemberEventKind.STALLED, self.local_member)
         self._now = now
 
     def _take_actions(self) -> list[Action]:
@@ -200,12 +203,12 @@
         known = self.table.known.get(priority_update) if priority_update else None
         first = (known,) if known is not None and known.state is not MemberState.ALIVE else ()
         gossip = self._gossip.next_updates(MAX_UPDATES_PER_PACKET - len(first), self.table.running_count)
-        packet = Packet(kind, self.me, number, target, address, first + gossip)
+        packet = Packet(kind, self.local_member, number, target, address, first + gossip)
         self._actions.append(SendPacket(to, packet))
 
     def _random_others(self, count: int, excluded: str = "") -> list[Member]:
         """Return at most `count` of the other running members, selected at random."""
-        others = self.table.others
+        others = self.table.other_running_members
         selected = self._rng.sample(others, min(count + 1, len(others)))
         return [member for member in selected if member.name != excluded][:count]
 
@@ -230,9 +233,9 @@
         for _ in range(2):  # first the rest of this round, then a new round
             while self._probe_round:
                 member = self.table.known.get(self._probe_round.pop())
-                if member is not None and member.is_running and member.name != self.me.name:
+                if member is not None and member.is_running and member.name != self.local_member.name:
                     return member
-            self._probe_round = [member.name for member in self.table.others]
+            self._probe_round = [member.name for member in self.table.other_running_members]
             self._rng.shuffle(self._probe_round)
         return None
 
@@ -258,7 +261,7 @@
     def _suspect_unless_restarted(self, target: Member) -> None:
         known = self.table.known.get(target.name)
         if known is not None and known.is_running and known.start_time_ms == target.start_time_ms:
-            self._handle_update(known.with_state(MemberState.SUSPECT, self.me.name))
+            self._handle_update(known.with_state(MemberState.SUSPECT, self.local_member.name))
 
     def _handle_ack(self, number: int) -> None:
         if number in self._probes:
@@ -290,7 +293,7 @@
     # --- Updates ------------------------------------------------------------------------------------
     def _handle_update(self, update: Member) -> None:
         """Merge an update about a member, and gossip it if it changed the table."""
-        if update.name == self.me.name:
+        if update.name == self.local_member.name:
             self._handle_update_about_local_member(update)
             return
         known = self.table.known.get(update.name)
@@ -316,13 +319,15 @@
         """
         if self.has_left:
             return
-        if update.start_time_ms > self.me.start_time_ms:
-            if update.address != self.me.address and update.is_running:
+        if update.start_time_ms > self.local_member.start_time_ms:
+            if update.address != self.local_member.address and update.is_running:
                 self._report(MemberEventKind.CONFLICT, update)
                 return
-            self._update_local_member(replace(self.me, start_time_ms=update.start_time_ms + 1, incarnation=0))
-        elif update.precedence >= self.me.precedence and update.state is not MemberState.ALIVE:
-            self._update_local_member(replace(self.me, incarnation=update.incarnation + 1))
+            self._update_local_member(
+                replace(self.local_member, start_time_ms=update.start_time_ms + 1, incarnation=0)
+            )
+        elif update.precedence >= self.local_member.precedence and update.state is not MemberState.ALIVE:
+            self._update_local_member(replace(self.local_member, incarnation=update.incarnation + 1))
             self.health.adjust(1)
             self._report(MemberEventKind.REFUTED, update)
 
@@ -368,7 +373,7 @@
         if self._now < suspicion.deadline - DEADLINE_TOLERANCE_SECONDS:
             self._check_suspicion_later(name, suspicion)
             return
-        self._handle_update(self.table.known[name].with_state(MemberState.DEAD, self.me.name))
+        self._handle_update(self.table.known[name].with_state(MemberState.DEAD, self.local_member.name))
 
     # --- Periodic work ------------------------------------------------------------------------------
     def _send_gossip(self) -> None:
@@ -392,9 +397,9 @@
         Each member tries with a probability that falls with the size of the fleet; a member that knows no
         other running member tries in every interval.
         """
-        running = {member.address for member in self.table.others}
+        running = {member.address for member in self.table.other_running_members}
         dead = [member.address for member in self.table.stopped_members if member.state is MemberState.DEAD]
-        unreached = sorted({*self.settings.seeds, *dead} - running - {self.me.address})
+        unreached = sorted({*self.settings.seeds, *dead} - running - {self.local_member.address})
         probability = max(MIN_REJOIN_PROBABILITY, REJOINING_MEMBERS / self.table.running_count)
         if unreached and not self.has_left and self._rng.random() < probability:
             self._actions.append(StartSync(self._rng.choice(unreached)))
--- a/stalltiller/protocol/discovery.py
+++ b/stalltiller/protocol/discovery.py
@@ -14,7 +14,7 @@
 from stalltiller.scheduling import TargetStatus
 
 TARGET_LIST_PATH = "/v1/servers"
-STATES = {
+STATUSES_BY_NAME = {
     "active": TargetStatus.READY,
     "leaving": TargetStatus.DRAINING,
     "left": TargetStatus.REMOVED,
@@ -51,7 +51,7 @@
     targets: tuple[TargetRecord, ...]
 
 
-def list_path(after: int | None, wait_ms: int) -> str:
+def target_list_path(after: int | None, wait_ms: int) -> str:
     """Return the request path for the full list (`after` is None) or for changes after that version.
 
     Discovery may hold a request for changes for up to `wait_ms` milliseconds until there is a change.
@@ -81,7 +81,7 @@
         zone=str(endpoint.get("zone", "")),
         kind=str(endpoint.get("type", "")),
         shard=int(endpoint["group"]),
-        status=STATES[endpoint["status"]],
+        status=STATUSES_BY_NAME[endpoint["status"]],
         weight=float(endpoint.get("weight", 1.0)),
         started_at=since_ms / MILLISECONDS_PER_SECOND if since_ms > 0 else None,
     )
--- a/stalltiller/protocol/http.py
+++ b/stalltiller/protocol/http.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass, field
 
 MAX_BODY_BYTES = 32 * 1024 * 1024  # applies to requests and to responses
-MAX_ANSWER = 1024 * 1024  # bytes; applies to responses that are parsed as a whole, such as the target list
+# Applies to responses that are parsed as a whole, such as the target list.
+MAX_DISCOVERY_RESPONSE_BYTES = 1024 * 1024
 MAX_CONTENT_LENGTH_DIGITS = 9  # cheap to convert, and enough for far more than MAX_BODY_BYTES
 MAX_CHUNK_LINE_BYTES = 1024  # applies to chunk size lines and trailer fields, including the line end
 MAX_INTERIM_RESPONSES = 16
@@ -55,10 +56,10 @@
 class Head:
     """A message's first line, and its fields by lower-case name.
 
-    `minor` is the minor HTTP version; requests have a method and a target, responses have a status.
+    `minor_version` is that of HTTP; requests have a method and a target, responses have a status.
     """
 
-    minor: int
+    minor_version: int
     fields: dict[str, str]
     method: str = ""
     target: str = ""
@@ -66,12 +67,12 @@
 
     def expects_continue(self) -> bool:
         """Return whether the client waits for an interim response before it sends the body."""
-        return self.minor == 1 and self.fields.get("expect", "").lower() == "100-continue"
+        return self.minor_version == 1 and self.fields.get("expect", "").lower() == "100-continue"
 
     def keeps_alive(self) -> bool:
         """Return whether the sender keeps the connection open after this message (RFC 9112, section 9.3)."""
         options = {option.strip().lower() for option in self.fields.get("connection", "").split(",")}
-        return "close" not in options and (self.minor == 1 or "keep-alive" in options)
+        return "close" not in options and (self.minor_version == 1 or "keep-alive" in options)
 
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -120,7 +121,7 @@
         raise HttpError(400, "malformed request line")
     method, target, version = parts
     head = Head(int(version[-1]), parse_fields(field_lines), method=method, target=target)
-    if head.minor == 1 and "host" not in head.fields:
+    if head.minor_version == 1 and "host" not in head.fields:
         raise HttpError(400, "no host field")
     return head
 
@@ -136,17 +137,17 @@
 
 @dataclass(slots=True)
 class Reader:
-    """Reads consecutive messages; `done` is true once `head` and `body` are complete.
+    """Reads consecutive messages; `is_complete` is true once `head` and `body` are complete.
 
     `reset` must be called between messages.  Malformed and oversized messages raise HttpError, after which
     the reader must not be used.
     """
 
     response: bool  # true: reads responses; false: reads requests
-    limit: int = MAX_BODY_BYTES  # maximum size of the body, in bytes
+    max_body_bytes: int = MAX_BODY_BYTES
     head: Head | None = None
     body: bytearray = field(default_factory=bytearray)
-    done: bool = False
+    is_complete: bool = False
     length: int | None = None  # size of the body in bytes, if the head states it
     bytes_received: int = 0  # counts the body only
     _bytes_remaining: int = 0  # left to read of a fixed-length body or of the current chunk
@@ -162,21 +163,21 @@
         """Prepare for the next message."""
         self.head = None
         self.body = bytearray()
-        self.done = False
+        self.is_complete = False
         self.length = None
         self.bytes_received = 0
         self._bytes_remaining = 0
         self._read_next = Reader._read_head
         self._item_count = 0
 
-    def drain(self) -> bytes:
+    def take_body(self) -> bytes:
         """Remove and return the bytes of the body that arrived since the last call."""
         received = bytes(self.body)
         self.body.clear()
         return received
 
     @property
-    def begun(self) -> bool:
+    def is_head_complete(self) -> bool:
         """Return whether the head is complete."""
         return self.head is not None
 
@@ -186,7 +187,7 @@
         Bytes that are not consumed must be passed again, together with those that follow them.
         """
         consumed = 0
-        while not self.done and consumed < len(data):
+        while not self.is_complete and consumed < len(data):
             step = self._read_next(self, data[consumed:])
             if step == 0:
                 break
@@ -195,9 +196,9 @@
 
     def finish(self) -> bool:
         """Handle the end of the connection; return whether the message is complete."""
-        if self._read_next is Reader._read_body_until_close and not self.done:
-            self.done = True
-        return self.done
+        if self._read_next is Reader._read_body_until_close and not self.is_complete:
+            self.is_complete = True
+        return self.is_complete
 
     def _read_head(self, data: memoryview) -> int:
         raw = bytes(data)
@@ -232,7 +233,7 @@
         coding = head.fields.get("transfer-encoding")
         length = head.fields.get("content-length")
         if coding is not None:
-            if coding.lower() != "chunked" or length is not None or head.minor == 0:
+            if coding.lower() != "chunked" or length is not None or head.minor_version == 0:
                 raise HttpError(400, "transfer coding not understood")
             self._read_next = Reader._read_chunk_line
         elif length is not None:
@@ -242,17 +243,17 @@
                 raise HttpError(502, "response without a body length on a persistent connection")
             self._read_next = Reader._read_body_until_close
         else:
-            self.done = True
+            self.is_complete = True
 
     def _start_fixed_length_body(self, length_text: str) -> None:
         if not length_text.isascii() or not length_text.isdigit():
             raise HttpError(400, "malformed content length")
-        if len(length_text) > MAX_CONTENT_LENGTH_DIGITS or int(length_text) > self.limit:
+        if len(length_text) > MAX_CONTENT_LENGTH_DIGITS or int(length_text) > self.max_body_bytes:
             raise HttpError(413, "body over the limit")
         self.length = int(length_text)
         self._bytes_remaining = self.length
         self._read_next = Reader._read_fixed_length_body
-        self.done = self.length == 0
+        self.is_complete = self.length == 0
 
     def _append_remaining(self, data: memoryview) -> int:
         received = data[: self._bytes_remaining]
@@ -263,12 +264,12 @@
 
     def _read_fixed_length_body(self, data: memoryview) -> int:
         consumed = self._append_remaining(data)
-        self.done = self._bytes_remaining == 0
+        self.is_complete = self._bytes_remaining == 0
         return consumed
 
     def _read_body_until_close(self, data: memoryview) -> int:
         self.bytes_received += len(data)
-        if self.bytes_received > self.limit:
+        if self.bytes_received > self.max_body_bytes:
             raise HttpError(413, "body over the limit")
         self.body += data
         return len(data)
@@ -290,7 +291,7 @@
         if not CHUNK_SIZE.fullmatch(size):
             raise HttpError(400, "malformed chunk size")
         self._bytes_remaining = int(size, 16)
-        if self.bytes_received + self._bytes_remaining > self.limit:
+        if self.bytes_received + self._bytes_remaining > self.max_body_bytes:
             raise HttpError(413, "body over the limit")
         self._read_next = Reader._read_chunk if self._bytes_remaining else Reader._read_trailer
         return len(line) + len(LINE_END)
@@ -309,12 +310,12 @@
         line = self._find_line(data)
         if line is None:
             return 0
-        self.done = not line
+        self.is_complete = not line
         self._count_item(MAX_TRAILER_LINES, "trailer without end")
         return len(line) + len(LINE_END)
 
 
-def request_head(method: str, target: str, fields: dict[str, str], length: int) -> bytes:
+def encode_request_head(method: str, target: str, fields: dict[str, str], length: int) -> bytes:
     """Encode a request's head; a GET without a body gets no Content-Length."""
     lines = [f"{method} {target} HTTP/1.1", *(f"{name}: {value}" for name, value in fields.items())]
     if length or method != "GET":
@@ -324,17 +325,17 @@
 
 def encode_request(method: str, target: str, fields: dict[str, str], body: bytes) -> bytes:
     """Encode a request with its body."""
-    return request_head(method, target, fields, len(body)) + body
+    return encode_request_head(method, target, fields, len(body)) + body
 
 
 def encode_response(
     status: int, body: bytes = b"", fields: dict[str, str] | None = None, close: bool = False
 ) -> bytes:
     """Encode a response with its body; `close` adds the field `Connection: close`."""
-    return response_head(status, len(body), fields, close) + body
+    return encode_response_head(status, len(body), fields, close) + body
 
 
-def response_head(
+def encode_response_head(
     status: int,
     length: int | None,
     fields: dict[str, str] | None = None,
--- a/stalltiller/protocol/nvme.py
+++ b/stalltiller/protocol/nvme.py
@@ -17,7 +17,7 @@
     BAD_SEQUENCE,
     C2H_DATA,
     C2H_TERM,
-    CAPSULE,
+    COMMAND_CAPSULE,
     FROM_CONTROLLER,
     FROM_HOST,
     H2C_DATA,
@@ -25,12 +25,12 @@
     HEADER_LENGTHS,
     IC_REQ,
     IC_RESP,
-    LAST,
-    MAX_DATA,
+    LAST_PDU_FLAG,
+    MAX_DATA_BYTES,
     OUT_OF_RANGE,
     R2T,
-    RESPONSE,
-    SUCCESS,
+    RESPONSE_CAPSULE,
+    SUCCESS_FLAG,
     Pdu,
     PduError,
     PduReader,
@@ -45,7 +45,7 @@
     term,
 )
 
-IN_CAPSULE = 8 * 1024  # bytes of write data that a capsule may carry; larger writes wait for an R2T
+MAX_IN_CAPSULE_BYTES = 8 * 1024  # bytes of write data that a capsule may carry; larger writes wait for an R2T
 MEMORY_PAGE_BYTES = 4096  # minimum memory page size (CAP.MPSMIN), the unit of MDTS
 MAX_ADMIN_QUEUE_ENTRIES = 32
 MAX_IO_QUEUE_ENTRIES = 64
@@ -79,8 +79,8 @@
 CNS_CONTROLLER = 0x01
 CNS_ACTIVE_NAMESPACES = 0x02
 CONNECT_DATA_BYTES = 1024
-IDENTIFY_SIZE = 4096  # bytes of an Identify data structure
-DYNAMIC = 0xFFFF  # controller identifier of the dynamic controller model: the controller assigns one
+IDENTIFY_DATA_BYTES = 4096  # bytes of an Identify data structure
+DYNAMIC_CONTROLLER_ID = 0xFFFF  # in the dynamic controller model, the controller assigns an identifier
 # SGL descriptor types with their subtypes
 IN_CAPSULE_SGL = 0x01
 TRANSPORT_SGL = 0x5A
@@ -97,14 +97,14 @@
 OK = 0x000
 BAD_OPCODE = 0x001
 INVALID_FIELD = 0x002
-INTERNAL = 0x006
+INTERNAL_ERROR = 0x006
 ABORTED = 0x007
 BAD_NAMESPACE = 0x00B
 COMMAND_SEQUENCE_ERROR = 0x00C
-NOT_READY = 0x082
+NAMESPACE_NOT_READY = 0x082
 OUT_OF_LBA = 0x080
 BAD_CONNECT = 0x182
-BUSY = 0x181
+CONTROLLER_BUSY = 0x181
 
 
 @dataclass(slots=True, frozen=True)
@@ -164,9 +164,9 @@
 
 
 def command(
-    opcode: int, cid: int, nsid: int = 0, rest: bytes = b"", length: int = 0, data: bytes = b""
+    opcode: int, cid: int, nsid: int = 0, command_dwords: bytes = b"", length: int = 0, data: bytes = b""
 ) -> bytes:
-    """Encode a command capsule; `rest` holds the command dwords 10 to 15.
+    """Encode a command capsule; `command_dwords` holds the command dwords 10 to 15.
 
     `data` is carried in the capsule.  Without it, `length` bytes are transferred in data PDUs, in either
     direction.
@@ -174,8 +174,10 @@
     sgl_type = TRANSPORT_SGL if length else 0
     if data:
         sgl_type = IN_CAPSULE_SGL
-    entry = SUBMISSION_ENTRY.pack(opcode, PSDT_SGL, cid, nsid, 0, len(data) or length, sgl_type, rest)
-    return pdu(CAPSULE, entry, data)
+    entry = SUBMISSION_ENTRY.pack(
+        opcode, PSDT_SGL, cid, nsid, 0, len(data) or length, sgl_type, command_dwords
+    )
+    return pdu(COMMAND_CAPSULE, entry, data)
 
 
 def io_command(
@@ -257,7 +259,8 @@
     """Encode a response capsule; `queue_id` names the submission queue, `submission_head` is its head."""
     status_field = entry.status << 1 | entry.delay << 12 | entry.no_retry << 15
     return pdu(
-        RESPONSE, COMPLETION_ENTRY.pack(entry.result, submission_head, queue_id, entry.cid, status_field)
+        RESPONSE_CAPSULE,
+        COMPLETION_ENTRY.pack(entry.result, submission_head, queue_id, entry.cid, status_field),
     )
 
 
@@ -278,11 +281,11 @@
     controller_id: int, serial: str, subsystem_nqn: str, delays: tuple[int, int, int], max_nsid: int
 ) -> bytes:
     """Encode the Identify Controller data; `delays` are the Command Retry Delays in units of 100 ms."""
-    page = bytearray(IDENTIFY_SIZE)
+    page = bytearray(IDENTIFY_DATA_BYTES)
     page[4:24] = serial.encode()[:20].ljust(20)
     page[24:64] = b"stalltiller".ljust(40)
     page[64:72] = b"1".ljust(8)
-    page[77] = (MAX_DATA // MEMORY_PAGE_BYTES).bit_length() - 1  # MDTS
+    page[77] = (MAX_DATA_BYTES // MEMORY_PAGE_BYTES).bit_length() - 1  # MDTS
     struct.pack_into("<HI", page, 78, controller_id, VERSION)
     page[111] = 1  # CNTRLTYPE: I/O controller
     struct.pack_into("<3H", page, 128, *delays)
@@ -292,14 +295,14 @@
     struct.pack_into("<HI", page, 514, MAX_IO_QUEUE_ENTRIES, max_nsid)
     struct.pack_into("<I", page, 536, 1 << 20 | 1)  # SGLS: SGLs, with offsets into the capsule
     page[768:1024] = subsystem_nqn.encode()[:255].ljust(256, b"\0")
-    struct.pack_into("<II", page, 1792, (IN_CAPSULE + 64) // 16, 1)  # IOCCSZ, IORCSZ
+    struct.pack_into("<II", page, 1792, (MAX_IN_CAPSULE_BYTES + 64) // 16, 1)  # IOCCSZ, IORCSZ
     page[1803] = 1  # MSDBD
     return bytes(page)
 
 
 def identify_namespace(blocks: int, block_size: int) -> bytes:
     """Encode the Identify Namespace data of a namespace without metadata; `block_size` is in bytes."""
-    page = bytearray(IDENTIFY_SIZE)
+    page = bytearray(IDENTIFY_DATA_BYTES)
     struct.pack_into("<QQQ", page, 0, blocks, blocks, blocks)
     page[130] = block_size.bit_length() - 1
     return bytes(page)
@@ -307,8 +310,10 @@
 
 def active_namespaces(ids: list[int], after: int) -> bytes:
     """Encode the list of active namespace identifiers greater than `after`."""
-    page = bytearray(IDENTIFY_SIZE)
-    active_ids = [namespace_id for namespace_id in sorted(ids) if namespace_id > after][: IDENTIFY_SIZE // 4]
+    page = bytearray(IDENTIFY_DATA_BYTES)
+    active_ids = [namespace_id for namespace_id in sorted(ids) if namespace_id > after][
+        : IDENTIFY_DATA_BYTES // 4
+    ]
     struct.pack_into(f"<{len(active_ids)}I", page, 0, *active_ids)
     return bytes(page)
 
--- a/stalltiller/protocol/nvme_pdu.py
+++ b/stalltiller/protocol/nvme_pdu.py
@@ -9,35 +9,35 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-MAX_DATA = 64 * 1024  # data bytes per command; Identify Controller reports the limit as MDTS
+MAX_DATA_BYTES = 64 * 1024  # data bytes per command; Identify Controller reports the limit as MDTS
 
 # PDU types
 IC_REQ = 0x00
 IC_RESP = 0x01
 H2C_TERM = 0x02
 C2H_TERM = 0x03
-CAPSULE = 0x04
-RESPONSE = 0x05
+COMMAND_CAPSULE = 0x04
+RESPONSE_CAPSULE = 0x05
 H2C_DATA = 0x06
 C2H_DATA = 0x07
 R2T = 0x09
 TERM_PDUS = (H2C_TERM, C2H_TERM)
-PDUS_WITHOUT_DATA = (IC_REQ, IC_RESP, RESPONSE, R2T)
+PDUS_WITHOUT_DATA = (IC_REQ, IC_RESP, RESPONSE_CAPSULE, R2T)
 HEADER_LENGTHS = {
     IC_REQ: 128,
     IC_RESP: 128,
     H2C_TERM: 24,
     C2H_TERM: 24,
-    CAPSULE: 72,
-    RESPONSE: 24,
+    COMMAND_CAPSULE: 72,
+    RESPONSE_CAPSULE: 24,
     H2C_DATA: 24,
     C2H_DATA: 24,
     R2T: 24,
 }
-FROM_HOST = frozenset((IC_REQ, H2C_TERM, CAPSULE, H2C_DATA))
-FROM_CONTROLLER = frozenset((IC_RESP, C2H_TERM, RESPONSE, C2H_DATA, R2T))
-LAST = 0x04  # flag of data PDUs: the last PDU of the transfer
-SUCCESS = 0x08  # flag of C2HData: the command succeeded and no response capsule follows
+FROM_HOST = frozenset((IC_REQ, H2C_TERM, COMMAND_CAPSULE, H2C_DATA))
+FROM_CONTROLLER = frozenset((IC_RESP, C2H_TERM, RESPONSE_CAPSULE, C2H_DATA, R2T))
+LAST_PDU_FLAG = 0x04  # flag of data PDUs: the last PDU of the transfer
+SUCCESS_FLAG = 0x08  # flag of C2HData: the command succeeded and no response capsule follows
 DIGEST_FLAGS = 0x03  # HDGSTF and DDGSTF: the PDU carries a header or data digest
 COMMON_HEADER = struct.Struct("<BBBBI")  # type, flags, HLEN, PDO, PLEN
 MAX_TERM_DATA_BYTES = 128  # limit on the part of the faulty PDU's header in a TermReq
@@ -87,7 +87,7 @@
     `allowed` holds the PDU types of the direction; `max_data` limits the data bytes of one PDU.
     """
 
-    def __init__(self, allowed: frozenset[int], max_data: int = MAX_DATA) -> None:
+    def __init__(self, allowed: frozenset[int], max_data: int = MAX_DATA_BYTES) -> None:
         self._allowed_types = allowed
         self._max_data = max_data
         self._header = b""  # header of the PDU being read, with the common header; empty between PDUs
@@ -174,7 +174,7 @@
     return pdu(IC_REQ, INITIALIZE_CONNECTION.pack(0, 0, 0, max_r2t - 1))
 
 
-def ic_response(max_data: int = MAX_DATA) -> bytes:
+def ic_response(max_data: int = MAX_DATA_BYTES) -> bytes:
     """Encode an ICResp; `max_data` limits the data bytes per H2CData PDU."""
     return pdu(IC_RESP, INITIALIZE_CONNECTION.pack(0, 0, 0, max_data))
 
@@ -202,7 +202,7 @@
     return TERMINATE_CONNECTION.unpack(received.header)
 
 
-def data_pdu(kind: int, cid: int, tag: int, offset: int, data: bytes, flags: int = LAST) -> bytes:
+def data_pdu(kind: int, cid: int, tag: int, offset: int, data: bytes, flags: int = LAST_PDU_FLAG) -> bytes:
     """Encode an H2CData or C2HData PDU; `tag` is the transfer tag and `offset` the byte offset of `data`."""
     return pdu(kind, DATA_TRANSFER.pack(cid, tag, offset, len(data)), data, flags)
 
--- a/stalltiller/protocol/platform.py
+++ b/stalltiller/protocol/platform.py
@@ -147,7 +147,7 @@
     report: tuple[float, ...] = ()
 
 
-class AnswerFields:
+class ResponseFields:
     """Parses the fields of targets' responses; a malformed load report is ignored."""
 
     def __init__(self, settings: Settings) -> None:
--- a/stalltiller/recovery/snapshot_codec.py
+++ b/stalltiller/recovery/snapshot_codec.py
@@ -31,7 +31,7 @@
 MAX_TOKEN_LEVELS = 20000
 MAX_SHARD_RATES = 4096
 MAX_PEERS = 1024
-STATUS_NAMES = {status: name for name, status in discovery.STATES.items()}
+STATUS_NAMES = {status: name for name, status in discovery.STATUSES_BY_NAME.items()}
 
 
 def encode_snapshot(snapshot: RecoverySnapshot) -> bytes:
--- a/stalltiller/routing/ports.py
+++ b/stalltiller/routing/ports.py
@@ -20,7 +20,7 @@
     The engine calls one of `complete`, `reject` and `fail` once, or none of them if the client disconnected.
     """
 
-    def complete(self, answer: Any) -> None:
+    def complete(self, response: Any) -> None:
         """Forward the response of a target as its target client reported it."""
 
     def reject(self, retry_after: float) -> None:
--- a/stalltiller/routing/slow_start_state.py
+++ b/stalltiller/routing/slow_start_state.py
@@ -41,7 +41,7 @@
         target_age=round(target_age, 3),
         process_age=round(scheduler.now - scheduler.started_at, 3),
         share=round(target.slow_start_share, 5),
-        other_initiators=round(target.slow_start_others, 2),
+        other_initiators=round(target.slow_start_other_initiators, 2),
         overload_backoff=round(target.overload_backoff, 3),
         window_units=round(target.slow_start_units.total_since(scheduler.now - rules.overload_window), 3),
     )
--- a/stalltiller/scheduling/scheduler.py
+++ b/stalltiller/scheduling/scheduler.py
@@ -10,22 +10,22 @@
 SAME_KEY_WINDOW_SECONDS = 0.03  # after a send, requests for the same data may exceed the concurrency limit
 LATE_ATTEMPT_GRACE_SECONDS = 0.05  # an attempt may stay in flight this long past its objective
 MIN_ATTEMPT_LATENCY_FACTOR = 3.0  # an attempt sent late gets at least this multiple of the mean latency
-UNTRIED_SECONDS = 0.5  # a high latency of a target without attempts for this long is discarded
-FORGET_SECONDS = 30.0  # an unused volume is removed after this: its averages have decayed by then
+LATENCY_EXPIRY_SECONDS = 0.5  # a high latency of a target without attempts for this long is discarded
+VOLUME_EXPIRY_SECONDS = 30.0  # an unused volume is removed after this: its averages have decayed by then
 CLEANUP_INTERVAL_SECONDS = 5.0  # interval between removals of unused state
 WATCH_RETRY_DELAY_SECONDS = 0.5  # minimum delay (maximum: twice that) before a failed watch is reopened
 POLL_INTERVAL_SECONDS = 0.01  # interval between checks of queued and unassigned requests
 POLL_TIMER = 1  # timer token
 WATCH_TIMER = 2  # timer token
-ANSWER_MARGIN_SECONDS = 0.02  # the final response is due this long before the deadline
+FINAL_RESPONSE_MARGIN_SECONDS = 0.02  # the final response is due this long before the deadline
 MIN_LATENCY_FRACTION = 0.6  # a response takes at least this fraction of the mean latency
 # No attempt starts for a client that waits no longer than this multiple of the mean latency.
-ABANDONED_FACTOR = 1.2
+MIN_CLIENT_WAIT_FACTOR = 1.2
 # A request that no target has fully received in this fraction of the client's time is rejected or failed.
 MAX_UNSENT_FRACTION = 0.5
 # An overtaken attempt counts as lost after this multiple of its expected latency, plus the margin.
-LOST_FACTOR = 2.0
-LOST_MARGIN_SECONDS = 0.01
+LOST_ATTEMPT_LATENCY_FACTOR = 2.0
+LOST_ATTEMPT_MARGIN_SECONDS = 0.01
 
 
 class Scheduler(VolumeAdmission, TargetLoad):
@@ -60,7 +60,7 @@
                 self.queued_targets.pop(target_id, None)
         # Checked in each batch, not only at polls: a retry may have less time left than the poll interval.
         for pending in list(self.unassigned):
-            is_late = now + ANSWER_MARGIN_SECONDS >= min(pending.due_at, pending.deadline)
+            is_late = now + FINAL_RESPONSE_MARGIN_SECONDS >= min(pending.due_at, pending.deadline)
             if is_late or self._is_send_overdue(pending):
                 self._reject_or_fail(pending)
         if not self.is_polling and (self.unassigned or self.queued_targets):
@@ -137,11 +137,13 @@
             self._reclaim_idle_grants(target)
         for volume_id, volume in list(self.volumes.items()):
             unused_for, plan = self.now - volume.requested_at, volume.plan
-            if unused_for > FORGET_SECONDS and (plan.limit <= 0 or unused_for * plan.limit >= plan.burst):
+            if unused_for > VOLUME_EXPIRY_SECONDS and (
+                plan.limit <= 0 or unused_for * plan.limit >= plan.burst
+            ):
                 del self.volumes[volume_id]
-        since = self.now - max(FORGET_SECONDS, self.settings.rules.overload_window)
+        since = self.now - max(VOLUME_EXPIRY_SECONDS, self.settings.rules.overload_window)
         self.contention.prune(since, self.volumes)
-        self.ordered.forget_pauses(self.now)
+        self.ordered.remove_expired_pauses(self.now)
 
     def _accept(self, request: events.Request) -> TargetState | None:
         now, settings, count = self.now, self.settings, request.volume_initiator_count
@@ -157,7 +159,7 @@
         volume.demand.add(now, request.units)
         volume.requested_at = now
         deadline = now + request.time_remaining
-        due_at = min(self._objective_due_at(request, request_class), deadline - ANSWER_MARGIN_SECONDS)
+        due_at = min(self._objective_due_at(request, request_class), deadline - FINAL_RESPONSE_MARGIN_SECONDS)
         key, attempts = request.idempotency_key if request_class.in_order else 0, settings.max_attempts
         pending = PendingRequest(request, request_class, volume, due_at, deadline, key, attempts)
         self.pending[request.request_id] = pending
@@ -208,7 +210,7 @@
     def _serve_queue(self, target: TargetState) -> None:
         if target.target.status is not TargetStatus.READY or target.target.target_id not in self.targets:
             return
-        if not target.in_flight and self.now - target.sent_at >= UNTRIED_SECONDS:
+        if not target.in_flight and self.now - target.sent_at >= LATENCY_EXPIRY_SECONDS:
             # Without new attempts, a target whose latency was high once would be avoided forever.
             target.latency = min(target.latency, SLOW_RESPONSE_FRACTION * self.min_objective)
         while True:
@@ -250,7 +252,7 @@
             if pending.priority is state.RESERVATION:
                 volume.reservation.level -= request.units
             target.allocations[request.volume].bucket.level -= request.units
-        self._count_slow_start(target, request.units)
+        self._count_slow_start_units(target, request.units)
         if pending.possibly_executed_at is None:
             pending.possibly_executed_at, pending.possibly_executed_by = self.now, target
         if key and (key != target.recent_key or self.now >= target.recent_key_until):
@@ -294,8 +296,8 @@
 
     def _will_be_abandoned(self, target: TargetState, pending: PendingRequest) -> bool:
         """Whether the client will time out before a response: clients that retry early would waste work."""
-        expected = ABANDONED_FACTOR * target.latency * self._relative_size(pending)
-        return self.now + expected >= pending.deadline - ANSWER_MARGIN_SECONDS
+        expected = MIN_CLIENT_WAIT_FACTOR * target.latency * self._relative_size(pending)
+        return self.now + expected >= pending.deadline - FINAL_RESPONSE_MARGIN_SECONDS
 
     def _is_send_overdue(self, pending: PendingRequest) -> bool:
         unsent_until = pending.deadline - MAX_UNSENT_FRACTION * pending.request.time_remaining
@@ -336,11 +338,14 @@
         for request_id, pending in target.in_flight.items():
             is_ended = pending.is_finished or pending.is_cancelled
             is_safe = pending.request_class.idempotency is Idempotency.SAFE
-            if is_ended or not is_safe or pending.overtaken_count < target_load.OVERTAKEN_COUNT:
+            if is_ended or not is_safe or pending.overtaken_count < target_load.MIN_OVERTAKEN_COUNT:
                 continue
             relative = self.relative_latency.get(pending.request_class.name, 1.0)
             expected = target.latency * relative * self._relative_size(pending)
-            if self.now - pending.sent_at < LOST_FACTOR * expected + LOST_MARGIN_SECONDS:
+            if (
+                self.now - pending.sent_at
+                < LOST_ATTEMPT_LATENCY_FACTOR * expected + LOST_ATTEMPT_MARGIN_SECONDS
+            ):
                 has_suspects = True
             elif self.settings.may_cancel and self._has_attempts_left(pending):
                 pending.is_cancelled = True
@@ -356,7 +361,7 @@
         executed_at = pending.possibly_executed_at
         if request_class.idempotency is Idempotency.SAFE or executed_at is None or executed_by is None:
             return True
-        is_late = self.now > executed_at + request_class.deduplication_window - ANSWER_MARGIN_SECONDS
+        is_late = self.now > executed_at + request_class.deduplication_window - FINAL_RESPONSE_MARGIN_SECONDS
         if request_class.idempotency is Idempotency.UNSAFE or is_late:
             return False
         scope, first, other = request_class.deduplication_scope, executed_by.target, target.target
@@ -382,7 +387,7 @@
             if status is events.AttemptStatus.NOT_STARTED and is_first:
                 pending.volume.limit.level += pending.request.units
                 pending.has_spent_tokens = False
-        is_in_time = self.now + ANSWER_MARGIN_SECONDS < pending.due_at
+        is_in_time = self.now + FINAL_RESPONSE_MARGIN_SECONDS < pending.due_at
         can_run = pending.possibly_executed_at is None or self._choose_target(pending) is not None
         if self._has_attempts_left(pending) and is_in_time and can_run and self._has_retry_budget():
             self._enqueue(pending)
--- a/stalltiller/scheduling/state.py
+++ b/stalltiller/scheduling/state.py
@@ -61,7 +61,7 @@
         self.reserve_fraction = RESERVE_FRACTION
         self.slow_start_units = SlidingWindowSum()  # units sent while the target warms up, less units served
         self.slow_start_share = 0.0  # fraction of the slow-start budget that this initiator may use
-        self.slow_start_others = 0.0  # estimated number of other initiators that share the budget
+        self.slow_start_other_initiators = 0.0  # estimated number of other initiators that share the budget
         self.slow_start_threshold = 0.0  # fraction of a request that the remaining budget has to cover
         self.slow_start_period_ends_at = 0.0
         self.overload_backoff = 1.0  # factor on the slow-start share
--- a/stalltiller/scheduling/target_load.py
+++ b/stalltiller/scheduling/target_load.py
@@ -12,7 +12,7 @@
 RELATIVE_LATENCY_GAIN = 0.02  # weight of a new response in a class's latency relative to the mean
 MAX_RELATIVE_LATENCY = 10.0  # bounds the effect of a single response on a class's relative latency
 MEAN_LATENCY_GAIN = 0.1  # weight of a new response in a target's mean latency: averages about the last ten
-OVERTAKEN_COUNT = 3  # targets serve requests in turn: an attempt overtaken this often may be lost
+MIN_OVERTAKEN_COUNT = 3  # targets serve requests in turn: an attempt overtaken this often may be lost
 # The factor on a slow-start share halves on overload, down to the minimum, and grows per good response.
 BACKOFF_RECOVERY_FACTOR = 1.5
 MIN_OVERLOAD_BACKOFF = 0.05
@@ -31,7 +31,7 @@
 
     def _update_load(self, target: TargetState, pending: PendingRequest, result: AttemptFinished) -> None:
         status, size, is_ok = result.status, self._relative_size(pending), result.status is AttemptStatus.OK
-        is_overtaken = pending.overtaken_count >= OVERTAKEN_COUNT
+        is_overtaken = pending.overtaken_count >= MIN_OVERTAKEN_COUNT
         if is_ok:
             self._update_relative_latency(target, pending, result.latency / size)
         elif status is AttemptStatus.RESET or (is_overtaken and status in POSSIBLY_EXECUTED):
@@ -84,7 +84,7 @@
     def _update_usage(self, target: TargetState, pending: PendingRequest, result: AttemptFinished) -> None:
         volume = pending.volume
         if result.status is AttemptStatus.OK:
-            self._count_slow_start(target, -pending.request.units)
+            self._count_slow_start_units(target, -pending.request.units)
             volume.served.add(self.now, pending.request.units)
             if result.other_units > 0:
                 volume.other_demand.add(self.now, result.other_units)
@@ -96,7 +96,7 @@
         started_at = target.target.started_at
         return started_at is not None and self.now - started_at < self.settings.rules.slow_start_duration
 
-    def _count_slow_start(self, target: TargetState, units: float) -> None:
+    def _count_slow_start_units(self, target: TargetState, units: float) -> None:
         """Count units sent to a warming target; a negative number counts units that it served."""
         if self._is_warming_up(target):
             target.slow_start_units.add(self.now, units)
@@ -130,4 +130,7 @@
         others = count - 1.0  # no estimate until this process has run for a window
         if self.now - window > self.started_at:
             others = self.contention.other_initiators(self.now, shard, count, shards, window)
-        target.slow_start_share, target.slow_start_others = target.overload_backoff / (1.0 + others), others
+        target.slow_start_share, target.slow_start_other_initiators = (
+            target.overload_backoff / (1.0 + others),
+            others,
+        )
--- a/stalltiller/simulator/codec.py
+++ b/stalltiller/simulator/codec.py
@@ -28,7 +28,7 @@
     TimerFired,
 )
 from stalltiller.simulator.errors import WireError
-from stalltiller.simulator.options import NANOSECONDS_PER_SECOND, parse_settings, settings_of
+from stalltiller.simulator.options import NANOSECONDS_PER_SECOND, parse_settings, settings_from_options
 
 __all__ = [
     "BatchReader",
@@ -40,7 +40,7 @@
     "WireError",
     "parse_settings",
     "read_frame",
-    "settings_of",
+    "settings_from_options",
     "to_target_id",
     "to_target_list_update",
 ]
--- a/stalltiller/simulator/options.py
+++ b/stalltiller/simulator/options.py
@@ -70,10 +70,10 @@
 def parse_settings(text: str) -> Settings:
     """Parse an initiator's options, one `path=value` per line; raises WireError on a malformed number."""
     pairs = (line.partition("=") for line in text.splitlines() if "=" in line)
-    return settings_of({path.strip(): value.strip() for path, _, value in pairs})
+    return settings_from_options({path.strip(): value.strip() for path, _, value in pairs})
 
 
-def settings_of(values: dict[str, str]) -> Settings:
+def settings_from_options(values: dict[str, str]) -> Settings:
     """Convert options, keyed by path, to settings; raises WireError on a malformed number."""
     options = OptionReader(values)
     classes = _request_classes(options)
--- a/stalltiller/transport/buffers.py
+++ b/stalltiller/transport/buffers.py
@@ -36,12 +36,12 @@
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
-        self.reserved = 0
+        self.reserved_bytes = 0
 
-    def adjust(self, byte_delta: int) -> bool:
+    def adjust_reservation(self, byte_delta: int) -> bool:
         """Reserve `byte_delta` bytes (release if negative) and return whether the total is within the limit.
 
         The bytes are counted even if the total exceeds the limit; the caller decides what to drop.
         """
-        self.reserved += byte_delta
-        return self.reserved <= self._max_bytes
+        self.reserved_bytes += byte_delta
+        return self.reserved_bytes <= self._max_bytes
--- a/stalltiller/transport/connection.py
+++ b/stalltiller/transport/connection.py
@@ -55,7 +55,7 @@
 
     def on_buffer_full(self) -> None:
         """Handle a buffer that is full of unconsumed bytes; the default pauses reading."""
-        self._pause()
+        self._pause_reading()
 
     def on_disconnected(self, error: Exception | None) -> None:
         """Handle the loss of the connection; `error` is None after an orderly close."""
@@ -278,7 +278,7 @@
         self._unread_start = 0
         self._unread_end = unread_bytes
 
-    def _pause(self) -> None:
+    def _pause_reading(self) -> None:
         """Pause reading from the kernel until `resume_processing` finds room in the buffer."""
         transport = self.transport
         if not self._paused and transport is not None and not transport.is_closing():
--- a/stalltiller/transport/listener.py
+++ b/stalltiller/transport/listener.py
@@ -90,7 +90,7 @@
             first_request_timeout = FIRST_REQUEST_TIMEOUT_SECONDS
         self._first_request_timeout = first_request_timeout
         self._server: asyncio.Server | None = None
-        self._listening: socket.socket | None = None
+        self._listening_socket: socket.socket | None = None
         # Each dict maps connections to a time on the monotonic clock and is ordered by that time.
         self._awaiting_first_request: dict[ManagedConnection, float] = {}  # time of establishment
         # The connections awaiting their first request that have sent part of it: time of the last receipt.
@@ -132,7 +132,7 @@
             else self._adopt_socket(inherited_descriptor)
         )
         listening.setblocking(False)
-        self._listening = listening
+        self._listening_socket = listening
         accepts = max(1, min(MAX_ACCEPTS_PER_ITERATION, self._max_connections // ACCEPTS_LIMIT_DIVISOR))
         self._server = await loop.create_server(
             lambda: self._connection_factory(self), sock=listening, backlog=accepts
@@ -265,19 +265,19 @@
                 break
             remaining -= connection.close_if_idle()
 
-    async def stop(self, take_in: bool) -> None:
-        """Stop accepting; open connections stay.  With `take_in`, first empty the kernel's accept queue.
+    async def stop(self, accept_backlog: bool) -> None:
+        """Stop accepting; open connections stay.  With `accept_backlog`, first empty the accept queue.
 
         Closing the listening socket resets accepted connections that are not established yet and connections
         in the accept queue, and the requests sent on them are lost.
         """
         loop = asyncio.get_running_loop()
-        listening = self._listening
+        listening = self._listening_socket
         if listening is not None and listening.fileno() >= 0:
             loop.remove_reader(listening)
             await asyncio.sleep(0)  # let asyncio establish connections that it has already accepted
             with contextlib.suppress(OSError):  # the accept queue is empty or no descriptor is left
-                while take_in:
+                while accept_backlog:
                     accepted, _ = listening.accept()
                     accepted.setblocking(False)
                     await loop.connect_accepted_socket(lambda: self._connection_factory(self), accepted)
--- a/stalltiller/transport/watch.py
+++ b/stalltiller/transport/watch.py
@@ -69,9 +69,9 @@
             jitter=1.0,
         )
 
-    def timeout(self, waits: bool) -> float:
-        """Return the timeout of a poll and its response; `waits`: the poll may wait for a change."""
-        return self.response_timeout + (self.poll_wait if waits else 0.0)
+    def timeout(self, may_wait: bool) -> float:
+        """Return the timeout of a poll and its response; `may_wait`: the poll may wait for a change."""
+        return self.response_timeout + (self.poll_wait if may_wait else 0.0)
 
     def initial_delay(self) -> float:
         """Return 0: the first poll need not be coordinated with other initiators."""
@@ -87,8 +87,8 @@
 class PollPolicy(Protocol):
     """When a watch polls; times are in seconds."""
 
-    def timeout(self, waits: bool) -> float:
-        """Return the timeout of a poll and its response; `waits`: the poll may wait for a change."""
+    def timeout(self, may_wait: bool) -> float:
+        """Return the timeout of a poll and its response; `may_wait`: the poll may wait for a change."""
 
     def initial_delay(self) -> float:
         """Return the delay before calling this again, or 0 if the first poll may be made now."""
@@ -100,8 +100,8 @@
 class Codec(Protocol):
     """Encodes polls and decodes responses; `feed` and `finish` raise ValueError on invalid responses."""
 
-    def call(self, waits: bool) -> bytes:
-        """Return the encoded next poll; `waits`: it may wait for a change."""
+    def encode_poll(self, may_wait: bool) -> bytes:
+        """Return the encoded next poll; `may_wait`: it may wait for a change."""
 
     def feed(self, data: memoryview) -> int:
         """Decode bytes of a response and return the number consumed."""
@@ -175,7 +175,7 @@
         try:
             while True:
                 try:
-                    await self._poll(waits=not timed_out)
+                    await self._poll(may_wait=not timed_out)
                     consecutive_errors = 0
                     timed_out = False
                 except (OSError, ValueError) as error:  # TimeoutError is an OSError
@@ -188,7 +188,7 @@
         finally:
             self._abort_connection()
 
-    async def _poll(self, waits: bool) -> None:
+    async def _poll(self, may_wait: bool) -> None:
         """Make one poll, on a new connection if none is open; raise OSError or ValueError if it fails."""
         connection = self._connection
         if connection is None or connection.is_closing:
@@ -196,8 +196,8 @@
             async with asyncio.timeout(timeout):
                 connection = await self._open()
                 self._connection = connection
-        async with asyncio.timeout(self._poll_policy.timeout(waits)):
-            stays_open = await self._request(connection, waits)
+        async with asyncio.timeout(self._poll_policy.timeout(may_wait)):
+            stays_open = await self._request(connection, may_wait)
         if not stays_open:
             connection.close()
             self._connection = None
@@ -214,7 +214,7 @@
         )
         return connection
 
-    async def _request(self, connection: _PollConnection, waits: bool) -> bool:
+    async def _request(self, connection: _PollConnection, may_wait: bool) -> bool:
         connection.response = asyncio.get_running_loop().create_future()
-        connection.write(self._codec.call(waits))
+        connection.write(self._codec.encode_poll(may_wait))
         return await connection.response
--- a/tests/fleet/test_swim.py
+++ b/tests/fleet/test_swim.py
@@ -164,7 +164,7 @@
 def test_a_member_refutes_wrong_updates_on_itself(update, start_time_ms, incarnation, events):
     swim = make_swim()
     actions = swim.handle_packet(0.0, Packet(PacketKind.GOSSIP, make_member("x"), updates=(update,)))
-    assert (swim.me.start_time_ms, swim.me.incarnation) == (start_time_ms, incarnation)
+    assert (swim.local_member.start_time_ms, swim.local_member.incarnation) == (start_time_ms, incarnation)
     assert [
         action.kind for action in actions if isinstance(action, MemberEvent) and action.member.name == "me"
     ] == events
@@ -178,7 +178,7 @@
     swim.handle_packet(
         0.0, Packet(PacketKind.GOSSIP, make_member("x"), updates=(make_member("me", 5, 0, SUSPECT),))
     )
-    assert swim.me.state is LEFT
+    assert swim.local_member.state is LEFT
 
 
 def test_a_ping_for_another_name_at_this_address_is_not_acknowledged():
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -79,7 +79,7 @@
     """Read one message; raises EOFError if the connection ends before it is complete."""
     reader = http.Reader(response=response)
     unparsed = b""
-    while not reader.done:
+    while not reader.is_complete:
         received = await stream.read(MAX_READ_BYTES)
         if not received:
             raise EOFError
@@ -191,7 +191,7 @@
                 await asyncio.sleep(NO_RESPONSE_SECONDS)
             message = http.Reader(response=False)
             message.feed(memoryview(head))
-            while not message.done:
+            while not message.is_complete:
                 message.feed(memoryview(await reader.read(MAX_READ_BYTES) or b""))
             mode = await self.act(tag, bytes(message.body))
             if mode == "serve":
@@ -270,7 +270,7 @@
 class NvmeTarget(Target):
     """A stub target over NVMe/TCP: each connection is a queue with one command at a time."""
 
-    capsule = nvme.IN_CAPSULE
+    capsule = nvme.MAX_IN_CAPSULE_BYTES
 
     async def serve(self, reader, writer) -> None:
         stream = Pdus(reader, writer, nvme.FROM_HOST)
@@ -299,7 +299,7 @@
             while request.opcode == nvme.WRITE and len(data) < request.length:
                 data += (await stream.next()).data
             mode = await self.act(request.lba, data)
-            status = {"serve": nvme.OK, "turn_away": nvme.NOT_READY}.get(mode, nvme.INTERNAL)
+            status = {"serve": nvme.OK, "turn_away": nvme.NAMESPACE_NOT_READY}.get(mode, nvme.INTERNAL_ERROR)
             size = request.length if request.opcode == nvme.READ and mode == "serve" else 0
             if size:
                 stream.writer.write(
@@ -330,10 +330,12 @@
         return stream, completion.result
 
     async def associate(self) -> tuple[Pdus, Pdus]:
-        admin, controller = await self.queue(0, nvme.DYNAMIC)
+        admin, controller = await self.queue(0, nvme.DYNAMIC_CONTROLLER_ID)
         admin.writer.write(nvme.property_set(2, nvme.CC, nvme.CC_ENABLE))
         assert nvme.parse_completion(await admin.next()).status == nvme.OK
-        admin.writer.write(nvme.command(nvme.IDENTIFY, 3, rest=bytes([nvme.CNS_CONTROLLER]), length=4096))
+        admin.writer.write(
+            nvme.command(nvme.IDENTIFY, 3, command_dwords=bytes([nvme.CNS_CONTROLLER]), length=4096)
+        )
         self.retry_delays = nvme.retry_delays((await admin.next()).data)
         await admin.next()
         io, _ = await self.queue(1, controller)
@@ -343,7 +345,7 @@
         admin, io = await self.associate()
         started_at = time.monotonic()
         size = len(data) if write else BLOCK * PER_UNIT * units
-        capsule_data = data if len(data) <= nvme.IN_CAPSULE else b""
+        capsule_data = data if len(data) <= nvme.MAX_IN_CAPSULE_BYTES else b""
         try:
             io.writer.write(
                 nvme.io_command(
@@ -353,7 +355,7 @@
             read_data = b""
             while True:
                 pdu = await io.next()
-                if pdu.kind == nvme.RESPONSE:
+                if pdu.kind == nvme.RESPONSE_CAPSULE:
                     break
                 if pdu.kind == nvme.R2T:
                     _, transfer_tag, offset, length = nvme.parse_data(pdu)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -26,7 +26,9 @@
     harness = SchedulerHarness(targets=(entry(1, status=TargetStatus.DRAINING),))  # nothing can be sent
     harness.feed(0.0, request(1, time_remaining=3.0))
     harness.feed(0.1, request(2, time_remaining=0.9))  # a retry would have at least the objective left
-    assert pending_request(harness, 2).due_at == pytest.approx(0.1 + 0.9 - scheduler.ANSWER_MARGIN_SECONDS)
+    assert pending_request(harness, 2).due_at == pytest.approx(
+        0.1 + 0.9 - scheduler.FINAL_RESPONSE_MARGIN_SECONDS
+    )
 
 
 def test_a_retry_has_the_remainder_of_the_objective():
@@ -41,9 +43,9 @@
     harness.feed(0.0, request(1))
     target = harness.scheduler.targets[1]
     target.latency = 0.4
-    rejected = harness.feed(0.01, request(2, time_remaining=scheduler.ABANDONED_FACTOR * 0.4))
+    rejected = harness.feed(0.01, request(2, time_remaining=scheduler.MIN_CLIENT_WAIT_FACTOR * 0.4))
     assert rejected == [Reject(2, 1.5)]
-    assert harness.sends(0.02, request(3, time_remaining=0.4 + scheduler.ABANDONED_FACTOR * 0.4)) == [3]
+    assert harness.sends(0.02, request(3, time_remaining=0.4 + scheduler.MIN_CLIENT_WAIT_FACTOR * 0.4)) == [3]
 
 
 def test_a_short_client_timeout_does_not_reduce_the_concurrency_limit():
@@ -82,7 +84,7 @@
     for n in range(50):
         harness.feed(n * 0.01, request(n, volume=n, shard=n))
         harness.feed(n * 0.01 + 0.005, outcome(n, target_id=n))
-    forgotten_at = 1.0 + scheduler.FORGET_SECONDS
+    forgotten_at = 1.0 + scheduler.VOLUME_EXPIRY_SECONDS
     harness.feed(forgotten_at, request(99, volume=99, shard=1))
     assert set(harness.scheduler.volumes) == {99} and set(harness.scheduler.contention.requested_at) == {1}
     assert sum(len(target.allocations) for target in harness.scheduler.targets.values()) == 1
@@ -95,11 +97,13 @@
     assert harness.sends(0.0, *(request(n) for n in range(1, 5))) == [1, 2, 3, 4]
     target.in_flight[1].sent_at = -0.01  # sent slightly before the others
     harness.feed(0.02, *(outcome(n, latency=0.02) for n in (2, 3, 4)))
-    assert target.in_flight[1].overtaken_count == target_load.OVERTAKEN_COUNT
+    assert target.in_flight[1].overtaken_count == target_load.MIN_OVERTAKEN_COUNT
     limit = target.concurrency_limit
     assert harness.poll(0.03) == []
-    lost_after = scheduler.LOST_FACTOR * target.latency * harness.scheduler.relative_latency["read"]
-    lost_after += scheduler.LOST_MARGIN_SECONDS
+    lost_after = (
+        scheduler.LOST_ATTEMPT_LATENCY_FACTOR * target.latency * harness.scheduler.relative_latency["read"]
+    )
+    lost_after += scheduler.LOST_ATTEMPT_MARGIN_SECONDS
     assert harness.poll(lost_after) == [CancelAttempt(1, 0)]
     assert harness.poll(lost_after + 0.01) == []  # cancelled only once
     assert harness.sends(
@@ -131,6 +135,6 @@
     target = harness.scheduler.targets[1]
     target.latency, target.concurrency_limit = 5.0, target_load.MIN_CONCURRENCY
     assert harness.sends(0.3, request(2)) == []
-    assert harness.sends(0.2 + scheduler.UNTRIED_SECONDS, request(3)) == [3]
+    assert harness.sends(0.2 + scheduler.LATENCY_EXPIRY_SECONDS, request(3)) == [3]
     target.latency = 5.0
-    assert harness.sends(0.21 + scheduler.UNTRIED_SECONDS, request(4)) == []
+    assert harness.sends(0.21 + scheduler.LATENCY_EXPIRY_SECONDS, request(4)) == []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -65,7 +65,7 @@
             scheduler.contention.record(scheduler.now, shard, shard, 1)
             target = scheduler.targets[shard]
             if shard == 1 and scheduler.now >= 3.0 and scheduler._has_slow_start_budget(target, 2.0):
-                scheduler._count_slow_start(target, 2.0)
+                scheduler._count_slow_start_units(target, 2.0)
                 sent.append((scheduler.now, 2.0))
     return sent
 
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -72,16 +72,16 @@
         may_finish.set()
         message = http.Reader(response=True)
         unparsed = b"HTTP/1.1 "
-        while not message.done:
+        while not message.is_complete:
             unparsed = unparsed[message.feed(memoryview(unparsed)) :]
-            received = b"" if message.done else await reader.read(65536)
+            received = b"" if message.is_complete else await reader.read(65536)
             unparsed += received
-            if not received and not message.done:
+            if not received and not message.is_complete:
                 assert message.finish()
         assert bytes(message.body) == LONG_BODY
         engine = world.app.engine
         await world.until(lambda: engine.counts["relayed"] == engine.counts["served"] == 1)
-        assert engine.open_request_count == 0 and world.app.target_client.response_budget.reserved == 0
+        assert engine.open_request_count == 0 and world.app.target_client.response_budget.reserved_bytes == 0
 
     run_scenario(scenario)
 
@@ -191,7 +191,7 @@
         writer.write(encoded_request)
         assert (await read_message(reader, response=True)).head.status == 200
         assert world.targets[0].ran == [(9, LONG_BODY)]
-        assert world.app.server.request_body_budget.reserved == 0
+        assert world.app.server.request_body_budget.reserved_bytes == 0
 
     run_scenario(scenario)
 
@@ -221,7 +221,7 @@
         encoded_request = http.encode_request("PUT", "/write/9", VALID_FIELDS, LONG_BODY)
         writer.write(encoded_request)
         assert (await read_message(reader, response=True)).head.status == 503
-        await world.until(lambda: world.app.server.request_body_budget.reserved == 0)
+        await world.until(lambda: world.app.server.request_body_budget.reserved_bytes == 0)
         assert world.app.engine.counts["taken"] == 0
 
     run_scenario(scenario)
@@ -233,7 +233,7 @@
         for status in (200, 409):  # the second request reuses the request ID
             writer.write(encoded_request)
             assert (await read_message(reader, response=True)).head.status == status
-            assert world.app.server.request_body_budget.reserved == 0
+            assert world.app.server.request_body_budget.reserved_bytes == 0
 
     run_scenario(scenario)
 
--- a/tests/test_nvme_controller.py
+++ b/tests/test_nvme_controller.py
@@ -26,7 +26,7 @@
 
 
 async def next_completion(stream: Pdus) -> nvme.Completion:
-    while (pdu := await stream.next()).kind != nvme.RESPONSE:
+    while (pdu := await stream.next()).kind != nvme.RESPONSE_CAPSULE:
         pass
     return nvme.parse_completion(pdu)
 
@@ -118,7 +118,7 @@
             (nvme.property_get(5, 0x9999), (nvme.INVALID_FIELD, 0)),
             (nvme.command(nvme.KEEP_ALIVE, 5), (nvme.OK, 0)),
             (nvme.command(0x0C, 5), (nvme.BAD_OPCODE, 0)),
-            (nvme.command(nvme.ABORT, 5, rest=struct.pack("<HH", 1, 99)), (nvme.OK, 1)),
+            (nvme.command(nvme.ABORT, 5, command_dwords=struct.pack("<HH", 1, 99)), (nvme.OK, 1)),
         ]:
             admin.writer.write(raw)
             completion = await next_completion(admin)
@@ -139,7 +139,7 @@
         admin, io = await client.associate()
         io.writer.write(read(4))
         await world.until(lambda: world.targets[0].begun)
-        admin.writer.write(nvme.command(nvme.ABORT, 5, rest=struct.pack("<HH", 1, 4)))
+        admin.writer.write(nvme.command(nvme.ABORT, 5, command_dwords=struct.pack("<HH", 1, 4)))
         assert (await next_completion(admin)).result == 0
         assert (await next_completion(io)).status == nvme.ABORTED
         assert world.app.engine.counts["gone"] == 1
@@ -175,7 +175,7 @@
         admin, io = await client.associate()
         io.writer.write(nvme.io_command(nvme.WRITE, 4, 1, 8, 32, 32 * BLOCK))
         assert (await io.next()).kind == nvme.R2T
-        admin.writer.write(nvme.command(nvme.ABORT, 5, rest=struct.pack("<HH", 1, 4)))
+        admin.writer.write(nvme.command(nvme.ABORT, 5, command_dwords=struct.pack("<HH", 1, 4)))
         completion = await next_completion(io)
         assert (completion.status, completion.no_retry) == (nvme.ABORTED, True)
         io.writer.write(nvme.data_pdu(nvme.H2C_DATA, 4, 4, 0, bytes(32 * BLOCK)))
@@ -195,14 +195,16 @@
         admin.writer.transport.abort()
         assert await io.reader.read() == b""
         await world.until(lambda: world.app.engine.open_request_count == 0)
-        assert world.app.engine.counts["gone"] == 2 and world.app.server.command_data_budget.reserved == 0
+        assert (
+            world.app.engine.counts["gone"] == 2 and world.app.server.command_data_budget.reserved_bytes == 0
+        )
 
     run_scenario(scenario)
 
 
 def test_a_host_that_exceeds_its_keep_alive_timeout_is_disconnected():
     async def scenario(world, client):
-        admin, _ = await client.queue(0, nvme.DYNAMIC, keep_alive=0.05)
+        admin, _ = await client.queue(0, nvme.DYNAMIC_CONTROLLER_ID, keep_alive=0.05)
         assert await admin.reader.read() == b""
         assert world.app.server.associations == {}
 
@@ -268,6 +270,6 @@
         for cid in range(1, 16):
             io.writer.write(read(cid, blocks=128))
         await world.until(lambda: world.app.server.associations == {})
-        assert world.app.server.unread_response_budget.reserved == 0
+        assert world.app.server.unread_response_budget.reserved_bytes == 0
 
     run_scenario(scenario)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -62,12 +62,12 @@
 )
 def test_complete_messages_are_parsed(data, response, body, step):
     reader = read_message(data, response, step)
-    assert reader.done and bytes(reader.body) == body
+    assert reader.is_complete and bytes(reader.body) == body
 
 
 def test_a_body_without_a_length_ends_with_the_connection():
     reader = read_message(OK_STATUS_LINE + b"Connection: close\r\n\r\nhal", True)
-    assert not reader.done and reader.finish() and bytes(reader.body) == b"hal"
+    assert not reader.is_complete and reader.finish() and bytes(reader.body) == b"hal"
 
 
 @pytest.mark.parametrize(
@@ -131,7 +131,7 @@
         + b"X-Server-Load: \x00\x07\r\nContent-Length: 2\r\n\r\nok",
         True,
     )
-    assert reader.done and (reader.head.fields, bytes(reader.body)) == ({"content-length": "2"}, b"ok")
+    assert reader.is_complete and (reader.head.fields, bytes(reader.body)) == ({"content-length": "2"}, b"ok")
 
 
 @pytest.mark.parametrize(
@@ -221,7 +221,7 @@
     ],
 )
 def test_response_fields_are_parsed(status, fields, expected):
-    info = platform.AnswerFields(SETTINGS).parse(http.Head(1, fields, status=status))
+    info = platform.ResponseFields(SETTINGS).parse(http.Head(1, fields, status=status))
     assert info == platform.ResponseInfo(*expected)
 
 
@@ -308,7 +308,7 @@
         1,
         b"data",
     )
-    assert nvme.parse_data(data) == (5, 9, 8, 4) and data.data == b"rest" and data.flags & nvme.LAST
+    assert nvme.parse_data(data) == (5, 9, 8, 4) and data.data == b"rest" and data.flags & nvme.LAST_PDU_FLAG
 
 
 @pytest.mark.parametrize(
@@ -346,8 +346,8 @@
 @pytest.mark.parametrize(
     ("completion", "status_field"),
     [
-        (nvme.Completion(7, nvme.NOT_READY, 0, 2), 0x82 << 1 | 2 << 12),
-        (nvme.Completion(7, nvme.INTERNAL, 0, 0, True), 6 << 1 | 1 << 15),
+        (nvme.Completion(7, nvme.NAMESPACE_NOT_READY, 0, 2), 0x82 << 1 | 2 << 12),
+        (nvme.Completion(7, nvme.INTERNAL_ERROR, 0, 0, True), 6 << 1 | 1 << 15),
         (nvme.Completion(7, nvme.BAD_CONNECT, 9, 0, True), 0x182 << 1 | 1 << 15),
     ],
 )
@@ -370,7 +370,7 @@
 def test_identify_data_fields_are_at_their_offsets():
     controller = nvme.identify_controller(3, "n1", "nqn.sub", (1, 2, 5), 4)
     assert len(controller) == 4096 and struct.unpack_from("<3H", controller, 128) == (1, 2, 5)
-    assert controller[768:775] == b"nqn.sub" and nvme.capsule_limit(controller) == nvme.IN_CAPSULE
+    assert controller[768:775] == b"nqn.sub" and nvme.capsule_limit(controller) == nvme.MAX_IN_CAPSULE_BYTES
     namespace = nvme.identify_namespace(1000, 4096)
     assert struct.unpack_from("<Q", namespace)[0] == 1000 and namespace[130] == 12
     assert struct.unpack_from("<3I", nvme.active_namespaces([4, 1, 9], 1)) == (4, 9, 0)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -257,9 +257,11 @@
         address = listener.address
         if accepted:  # stops between the accept and the iteration that sets up the connection
             asyncio.get_running_loop()._accept_connection(
-                lambda: listener._connection_factory(listener), listener._listening, server=listener._server
+                lambda: listener._connection_factory(listener),
+                listener._listening_socket,
+                server=listener._server,
             )
-        await listener.stop(take_in=not accepted)
+        await listener.stop(accept_backlog=not accepted)
         assert (await read_to_end(client)).startswith(b"HTTP/1.1 200")
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(address, timeout=1)
@@ -271,7 +273,7 @@
 def test_a_request_that_is_complete_only_after_finish_all_is_rejected_not_dropped(monkeypatch):
     """The process ended without a response to a request that it had read."""
     monkeypatch.setattr("stalltiller.daemon.graceful_shutdown.KEEP_LISTENING_SECONDS", 0.01)
-    monkeypatch.setattr("stalltiller.daemon.graceful_shutdown.CLOSING_SECONDS", 0.01)
+    monkeypatch.setattr("stalltiller.daemon.graceful_shutdown.CLOSE_IDLE_BEFORE_END_SECONDS", 0.01)
 
     async def scenario(world):
         client = connect_client(world)
@@ -313,7 +315,7 @@
 
 def test_a_long_response_that_the_shutdown_truncates_does_not_look_complete(monkeypatch):
     """For an HTTP/1.0 client, an orderly close of the connection completes a response without a length."""
-    for name in ("KEEP_LISTENING_SECONDS", "CLOSING_SECONDS", "LINGER_SECONDS"):
+    for name in ("KEEP_LISTENING_SECONDS", "CLOSE_IDLE_BEFORE_END_SECONDS", "LINGER_SECONDS"):
         monkeypatch.setattr(f"stalltiller.daemon.graceful_shutdown.{name}", 0.01)
 
     async def scenario(world):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -290,6 +290,6 @@
 
 
 def test_identify_pages_are_read():
-    page = fixture_bytes("nvme pages", "controller").ljust(nvme.IDENTIFY_SIZE, b"\0")
+    page = fixture_bytes("nvme pages", "controller").ljust(nvme.IDENTIFY_DATA_BYTES, b"\0")
     assert nvme.capsule_limit(page) == 8192
     assert nvme.retry_delays(page) == (1, 2, 3)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -85,7 +85,7 @@
                 notified.set_result(asyncio.get_running_loop().time())
 
         # The first poll waits for a change, like that of an established watch.
-        codec = WatchCodec("d", on_list, poll_policy.poll_wait, KNOWN_VERSION, first_waits=True)
+        codec = WatchCodec("d", on_list, poll_policy.poll_wait, KNOWN_VERSION, first_poll_may_wait=True)
         watch = asyncio.create_task(Watch(address, BufferPool(), codec, poll_policy, lambda _: None).run())
         if outage:
             await asyncio.sleep(outage)
@@ -173,12 +173,12 @@
     status, list_fields, next_query
 ):
     codec = WatchCodec("d", lambda _: None, 5.0, KNOWN_VERSION)
-    assert b"/v1/servers?after=41&wait_ms=0 " in codec.call()
+    assert b"/v1/servers?after=41&wait_ms=0 " in codec.encode_poll()
     try:
         feed_response(codec, status, **list_fields)
     except ValueError:
         assert (status, next_query) != (200, "after=43&wait_ms=5000")
-    assert f"/v1/servers{'?' * bool(next_query)}{next_query} ".encode() in codec.call()
+    assert f"/v1/servers{'?' * bool(next_query)}{next_query} ".encode() in codec.encode_poll()
 
 
 class OverloadedDiscovery(Standin):
