--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -21,8 +21,8 @@
 from tests.fleet.virtual import Fleet
 
 IDLE_SECONDS = 10.0  # duration of the traffic measurement, without membership changes
-RUSH_READS_PER_SECOND = 1  # per reader
-RUSH_SECONDS = 6.0
+WARMING_READS_PER_SECOND = 1  # per reader
+WARMING_LOAD_SECONDS = 6.0
 MEMBERS_PER_READER = 5  # one member in this number reads from the warming target
 SERVICE_SECONDS = 0.03  # response time of the warming target; too short to reach concurrency limits
 SETTLE_SECONDS = 15.0  # after all members agree, until the gossip of the start has ended
@@ -36,7 +36,7 @@
     """Measure a fleet of `size` processes with the default settings of the protocol."""
     began_at = time.monotonic()
     async with Rig(size, folder, probe_every_s="0.5", probe_timeout_s="0.2") as rig:
-        await rig.agreed()
+        await rig.wait_until_views_agree()
         join_seconds = time.monotonic() - began_at
         await asyncio.sleep(SETTLE_SECONDS)
         before = await fetch_statuses(rig)
@@ -47,7 +47,7 @@
             for key in ("sent_bytes", "sent_packets")
         )
         await rig["m2"].kill()
-        detection_seconds = await rig.agreed(*(name for name in rig.members if name != "m2"))
+        detection_seconds = await rig.wait_until_views_agree(*(name for name in rig.members if name != "m2"))
         false_suspicions = len(
             {line["member"] for member in rig.members.values() for line in member.logged("fleet_suspect")}
             - {"m2"}
@@ -63,21 +63,21 @@
         }
 
 
-async def measure_rush(size: int, folder: Path, lends_budgets: bool) -> dict[str, object]:
+async def measure_warming_reads(size: int, folder: Path, lends_budgets: bool) -> dict[str, object]:
     """Measure the reads that a warming target serves while one in five members reads from it.
 
     Each reader sends so few reads that its served units add no room: it needs a fraction of the budget.
     """
     async with Rig(size, folder, share=str(lends_budgets).lower()) as rig:
-        await rig.agreed()
+        await rig.wait_until_views_agree()
         if lends_budgets:
             await rig.all_may_lend()
         readers = list(rig.members)[::MEMBERS_PER_READER]
-        reads_per_second = RUSH_READS_PER_SECOND * size // MEMBERS_PER_READER
-        served, warming = await rig.rush(
+        reads_per_second = WARMING_READS_PER_SECOND * size // MEMBERS_PER_READER
+        served, warming = await rig.read_from_warming_target(
             readers,
             reads_per_second,
-            RUSH_SECONDS,
+            WARMING_LOAD_SECONDS,
             delay=SERVICE_SECONDS,
             background_reads_per_second=2 * size,
         )
@@ -85,8 +85,8 @@
             "kind": "rush",
             "size": size,
             "share": lends_budgets,
-            "asked": int(reads_per_second * RUSH_SECONDS),
-            "sent": len(warming.begun),
+            "asked": int(reads_per_second * WARMING_LOAD_SECONDS),
+            "sent": len(warming.received),
             "served": served,
         }
 
@@ -132,7 +132,10 @@
     for size in options.rush:
         for lends_budgets in (True, False):
             with tempfile.TemporaryDirectory() as folder:
-                print(json.dumps(asyncio.run(measure_rush(size, Path(folder), lends_budgets))), flush=True)
+                print(
+                    json.dumps(asyncio.run(measure_warming_reads(size, Path(folder), lends_budgets))),
+                    flush=True,
+                )
     for size in options.virtual:
         print(json.dumps(measure_virtual(size, options.seed)), flush=True)
 
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -41,8 +41,8 @@
     await process.wait()
     rig[holder].log.clear()
     await rig[holder].start()
-    await rig.until(lambda: rig[holder].logged("started") != [], "the stopped member has restarted")
-    await rig.agreed()
+    await rig.wait_until(lambda: rig[holder].logged("started") != [], "the stopped member has restarted")
+    await rig.wait_until_views_agree()
     return seconds
 
 
@@ -50,7 +50,7 @@
     """Measure failovers in a fleet of real processes."""
     measurements = {}
     async with Rig(size, folder, voters="3") as rig:
-        await rig.agreed()
+        await rig.wait_until_views_agree()
         for stop_signal, label in ((signal.SIGKILL, "killed"), (signal.SIGTERM, "told")):
             failover_seconds = [await measure_failover(rig, stop_signal) for _ in range(rounds)]
             measurements[f"{label}_median_s"] = round(statistics.median(failover_seconds), 2)
--- a/bench/mass_restart.py
+++ b/bench/mass_restart.py
@@ -101,11 +101,11 @@
         self.slots = slots
         self.delay = SERVICE_SECONDS
 
-    async def act(self, tag: int, data: bytes) -> str:
+    async def execute(self, tag: int, data: bytes) -> str:
         if self.in_flight >= self.slots:
             self.rejected_at.append(time.monotonic())
-            return "turn_away"
-        return await super().act(tag, data)
+            return "reject"
+        return await super().execute(tag, data)
 
     async def serve(self, reader, writer) -> None:
         self.connected_at.append(time.monotonic())
@@ -200,7 +200,7 @@
         times = {
             "list_calls": self.rig.discovery.times,
             "connections": self._connection_times(),
-            "sends": [at for target in self.targets for at, _tag in target.begun],
+            "sends": [at for target in self.targets for at, _tag in target.received],
             "served": [read.sent_at for read in self.reads if read.is_served],
             "asked": [read.sent_at for read in self.reads],
         }
@@ -243,7 +243,7 @@
                 peaks[f"{name}_{when}"] = peak_per_second(times, interval)
         for when, interval in intervals.items():
             peaks[f"sends_{when}"] = max(
-                peak_per_second([at for at, _tag in target.begun], interval) for target in self.targets
+                peak_per_second([at for at, _tag in target.received], interval) for target in self.targets
             )
         for when, interval in open_connection_intervals.items():
             peaks[f"open_{when}"] = sum(
@@ -279,8 +279,8 @@
         await new.open()
         rig.discovery.set(new)
         rig.targets.append(new)
-        old.mode = "turn_away"
-    await rig.until(
+        old.mode = "reject"
+    await rig.wait_until(
         lambda: all(
             any(line["index"] >= rig.discovery.index for line in member.logged("list"))
             for member in rig.members.values()
@@ -299,7 +299,7 @@
     """Run a scenario and return its report."""
     changes = {**FLEET_SETTINGS, **CONFIGURATIONS[scenario.configuration]}
     async with Rig(scenario.size, folder, **changes) as rig:
-        await rig.agreed()
+        await rig.wait_until_views_agree()
         targets = await replace_targets(rig, scenario.capacity_factor)
         load = Load(rig, scenario.retry_seconds)
         load_task = asyncio.create_task(load.run())
@@ -338,7 +338,7 @@
 async def measure_snapshot_cost(saves_snapshots: bool, folder: Path) -> dict[str, object]:
     """Return read latencies of five members that save a snapshot every 0.2 s, or never."""
     async with Rig(5, folder, persists_state=str(saves_snapshots).lower()) as rig:
-        await rig.agreed()
+        await rig.wait_until_views_agree()
         warm_up_task = asyncio.create_task(Load(rig, 1.2, 40.0).run())
         await asyncio.sleep(5.0)  # until the initial ramp is over
         warm_up_task.cancel()
--- a/bench/recovery_faults.py
+++ b/bench/recovery_faults.py
@@ -27,7 +27,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from bench.storm import BURST, LIMIT, lowest_level
+from bench.storm import BURST_UNITS, LIMIT_UNITS_PER_SECOND, min_token_level
 from tests.fleet.rig import Rig, send_read
 
 FLEET_SIZE = 6
@@ -142,7 +142,7 @@
 async def drain_target(rig: Rig) -> float:
     """Drain s-1 and wait until all members have saved that; return when the lists of all reported it."""
     rig.discovery.set(rig.targets[1], "leaving")
-    await rig.until(
+    await rig.wait_until(
         lambda: all(
             any(line["targets"].get("s-1") == "draining" for line in member.logged("list"))
             for member in rig.members.values()
@@ -188,7 +188,7 @@
 
     try:
         async with asyncio.timeout(RECOVERY_SECONDS):
-            await rig.until(all_full, "all restarted members are at full service")
+            await rig.wait_until(all_full, "all restarted members are at full service")
     except TimeoutError:
         phases = [(await rig[name].admin_json("/_fleet/status"))["phase"] for name in names]
         broken_rules.append(f"not back to full service: {phases}")
@@ -203,7 +203,7 @@
 def broken_drain_rules(rig: Rig, all_notified_at: float, ended_at: float) -> list[str]:
     """Return the rule broken by late attempts at the draining target, if there were any."""
     late_attempts = sum(
-        all_notified_at + DRAIN_GRACE_SECONDS < at < ended_at for at, _tag in rig.targets[1].begun
+        all_notified_at + DRAIN_GRACE_SECONDS < at < ended_at for at, _tag in rig.targets[1].received
     )
     return [f"{late_attempts} attempts at a draining target"] if late_attempts else []
 
@@ -214,8 +214,8 @@
     started_at = time.monotonic()
     async with Rig(FLEET_SIZE, folder, persists_state="true") as rig:
         names = list(rig.members)
-        await rig.agreed()
-        await rig.until(
+        await rig.wait_until_views_agree()
+        await rig.wait_until(
             lambda: all(rig[name].logged("list") for name in names), "all members have a target list"
         )
         limited_target = await rig.add("s-2", 2)
@@ -243,7 +243,7 @@
         if faults:
             broken_rules.append(f"{faults} engine faults")
         broken_rules += broken_drain_rules(rig, drain_notified_at, drain_ended_at)
-        units_left = lowest_level(limited_target.begun)
+        units_left = min_token_level(limited_target.received)
         if units_left < -LIMIT_TOLERANCE_UNITS:
             broken_rules.append(f"the volume exceeded its limit by {-units_left:.1f} units")
         return {
@@ -271,8 +271,8 @@
     summary = {
         "kind": "return_faults",
         "schedules": len(results),
-        "limit": LIMIT,
-        "burst": BURST,
+        "limit": LIMIT_UNITS_PER_SECOND,
+        "burst": BURST_UNITS,
         "full_p50_s": recovery_times[len(recovery_times) // 2],
         "full_worst_s": recovery_times[-1],
         "broken": sum(bool(result["broken"]) for result in results),
--- a/bench/slow_start.py
+++ b/bench/slow_start.py
@@ -61,7 +61,7 @@
                         del self.need_reported_at[index][key]
                         ledger.set_need(key, 0.0)
                 if self.need_reported_at[index]:
-                    peers = [str(peer) for peer in self.draw.sample(range(INITIATORS), 9) if peer != index]
+                    peers = [str(peer) for peer in self.rng.sample(range(INITIATORS), 9) if peer != index]
                     for peer, request in ledger.due_requests(self.exchanged_at, peers):
                         self.send(index, int(peer), request)
         self.deliver(now)
@@ -102,7 +102,7 @@
         fleets = [fleet_class(seed, options.busier) for seed in range(options.seeds)]
         worst_seconds = [fleet.run(18.0) for fleet in fleets]
         sent_units = [sum(units for _, units in fleet.sent) for fleet in fleets]
-        served_units = statistics.mean(fleet.complete for fleet in fleets)
+        served_units = statistics.mean(fleet.completed_units for fleet in fleets)
         print(
             json.dumps(
                 {
--- a/bench/storm.py
+++ b/bench/storm.py
@@ -22,8 +22,8 @@
 WINDOW_SECONDS = 1.0
 INITIAL_FRACTION = 0.15  # fraction of its full capacity that the target has at its start
 SLOW_START_SECONDS = 17.0  # time from the target's start to its full capacity
-LIMIT = 27.0  # units per second
-BURST = 44.0  # units
+LIMIT_UNITS_PER_SECOND = 27.0
+BURST_UNITS = 44.0
 TARGET_READS_PER_SECOND = 60.0  # from the warming target, by all members together
 VOLUME_READS_PER_SECOND = 60.0  # from the limited volume
 BEFORE_KILL_SECONDS = 3.0
@@ -42,10 +42,10 @@
     return max_ratio
 
 
-def lowest_level(attempts: list[tuple[float, int]]) -> float:
-    level, last_at, lowest = BURST, attempts[0][0], BURST
+def min_token_level(attempts: list[tuple[float, int]]) -> float:
+    level, last_at, lowest = BURST_UNITS, attempts[0][0], BURST_UNITS
     for at, _ in attempts:
-        level, last_at = min(BURST, level + LIMIT * (at - last_at)) - 1.0, at
+        level, last_at = min(BURST_UNITS, level + LIMIT_UNITS_PER_SECOND * (at - last_at)) - 1.0, at
         lowest = min(lowest, level)
     return lowest
 
@@ -65,7 +65,7 @@
 async def run_storm(size: int, folder: Path) -> dict[str, object]:
     names = [f"m{n}" for n in range(size)]
     async with Rig(size, folder, peers="true", probe_every_s="0.5", probe_timeout_s="0.2") as rig:
-        await rig.agreed()
+        await rig.wait_until_views_agree()
         await rig.all_may_lend()
         limited_target = await rig.add("s-2", 2)
         limited_read_options = {"shard": 2, "plan": "basic", "hosts": 3, "volume": 9}
@@ -73,18 +73,18 @@
             read_round_robin(rig, names[:3], VOLUME_READS_PER_SECOND, **limited_read_options)
         )
         target_load = asyncio.create_task(
-            rig.rush(names, int(TARGET_READS_PER_SECOND), LOAD_SECONDS, "turn_away")
+            rig.read_from_warming_target(names, int(TARGET_READS_PER_SECOND), LOAD_SECONDS, "reject")
         )
         await asyncio.sleep(BEFORE_KILL_SECONDS)
         killed = names[1::2]
         await asyncio.gather(*(rig[name].kill() for name in killed))
         await asyncio.gather(*(rig[name].start() for name in killed))
-        rejoin_seconds = await rig.agreed()
+        rejoin_seconds = await rig.wait_until_views_agree()
         await asyncio.sleep(BEFORE_PARTITION_SECONDS)
         rig.proxy.cut(set(names[: size // 2]), set(names[size // 2 :]))
         await asyncio.sleep(PARTITION_SECONDS)
         rig.proxy.heal()
-        heal_seconds = await rig.agreed()
+        heal_seconds = await rig.wait_until_views_agree()
         _, warming_target = await target_load
         volume_load.cancel()
         return {
@@ -92,10 +92,10 @@
             "size": size,
             "back_s": round(rejoin_seconds, 2),
             "healed_s": round(heal_seconds, 2),
-            "cold_attempts": len(warming_target.begun),
-            "worst_second": round(max_overload_ratio(warming_target.begun), 2),
-            "volume_reads": len(limited_target.begun),
-            "least_left": round(lowest_level(limited_target.begun), 1),
+            "cold_attempts": len(warming_target.received),
+            "worst_second": round(max_overload_ratio(warming_target.received), 2),
+            "volume_reads": len(limited_target.received),
+            "least_left": round(min_token_level(limited_target.received), 1),
         }
 
 
--- a/tests/fleet/rig.py
+++ b/tests/fleet/rig.py
@@ -241,7 +241,7 @@
 
 
 class Rig:
-    """A fleet of processes with stand-ins for its targets and discovery services."""
+    """A fleet of processes with stubs for its targets and discovery services."""
 
     def __init__(self, size: int, folder: Path, **changes: str) -> None:
         ports = free_ports(4 * size)
@@ -291,8 +291,8 @@
             if member.log_reader is not None:
                 await member.log_reader
         self.proxy.close()
-        for standin in (self.discovery, self.second_discovery, *self.targets):
-            standin.close()
+        for stub in (self.discovery, self.second_discovery, *self.targets):
+            stub.close()
         if error_type is not None:
             lines = [line for member in self.members.values() for line in member.log]
             for line in sorted(lines, key=lambda line: line["time"]):
@@ -307,7 +307,7 @@
             )
             return all(status and status["commons"]["whole"] for status in statuses)
 
-        await self.until(can_all_lend, "all members may lend budget")
+        await self.wait_until(can_all_lend, "all members may lend budget")
 
     async def add(self, name: str, shard: int, since_ms: int = 0) -> HttpTarget:
         """Add a target and wait until all members have it on their target list."""
@@ -315,7 +315,7 @@
         await target.open()
         self.targets.append(target)
         self.discovery.set(target, since_ms=since_ms)
-        await self.until(
+        await self.wait_until(
             lambda: all(
                 any(name in line.get("targets", {}) for line in member.logged("list"))
                 for member in self.members.values()
@@ -324,7 +324,7 @@
         )
         return target
 
-    async def rush(
+    async def read_from_warming_target(
         self,
         readers: list[str],
         reads_per_second: int,
@@ -368,7 +368,7 @@
     def __getitem__(self, name: str) -> Process:
         return self.members[name]
 
-    async def until(self, condition: Callable[[], bool | Awaitable[bool]], description: str) -> float:
+    async def wait_until(self, condition: Callable[[], bool | Awaitable[bool]], description: str) -> float:
         """Wait until a condition holds, and return the seconds waited."""
         started_at = time.monotonic()
         while True:
@@ -380,7 +380,7 @@
             assert elapsed < CONDITION_TIMEOUT_SECONDS, f"the condition did not hold in time: {description}"
             await asyncio.sleep(0.02)
 
-    async def agreed(self, *names: str) -> float:
+    async def wait_until_views_agree(self, *names: str) -> float:
         """Wait until each of these members (default: all) considers exactly these running."""
         expected = set(names or self.members)
 
@@ -388,15 +388,15 @@
             views = await asyncio.gather(*(self[name].running_members() for name in expected))
             return all(set(view) == expected for view in views) and all(view == views[0] for view in views)
 
-        return await self.until(all_agree, f"{sorted(expected)} agree on the running members")
+        return await self.wait_until(all_agree, f"{sorted(expected)} agree on the running members")
 
 
-def run_scene(scenario: Callable[[Rig], Awaitable[None]], size: int, folder: Path, **changes: str) -> None:
+def run_scenario(scenario: Callable[[Rig], Awaitable[None]], size: int, folder: Path, **changes: str) -> None:
     """Run a test scenario once all members of a new fleet agree on the running members."""
 
     async def run() -> None:
         async with Rig(size, folder, **changes) as rig:
-            await rig.agreed()
+            await rig.wait_until_views_agree()
             await scenario(rig)
 
     asyncio.run(run())
--- a/tests/fleet/test_lease_service.py
+++ b/tests/fleet/test_lease_service.py
@@ -6,7 +6,7 @@
 import shutil
 import signal
 
-from tests.fleet.rig import Rig, run_scene
+from tests.fleet.rig import Rig, run_scenario
 
 MEMBERS = [f"m{n}" for n in range(5)]
 VOTERS = MEMBERS[:3]
@@ -37,7 +37,7 @@
         assert len(holders) <= 1, holders
         return len(holders) == 1 and next(iter(holders.values())) > above_token
 
-    await rig.until(has_one_holder, f"one of {names} holds the lease with a token above {above_token}")
+    await rig.wait_until(has_one_holder, f"one of {names} holds the lease with a token above {above_token}")
     return next(iter(holders.items()))
 
 
@@ -51,7 +51,7 @@
         leaders = [name for name, status in statuses.items() if status["voter"]["role"] == "leader"]
         return len(leaders) == 1
 
-    await rig.until(has_one_leader, "one voter leads")
+    await rig.wait_until(has_one_leader, "one voter leads")
     return leaders[0]
 
 
@@ -69,12 +69,12 @@
             other, new_token = await wait_for_holder(rig, without(name), token)
             assert other != name and new_token > token
             await rig[name].start()
-            await rig.until(
+            await rig.wait_until(
                 lambda name=name: rig[name].logged("started")[1:] != [], "the killed member has restarted"
             )
             token = new_token
 
-    run_scene(scenario, 5, tmp_path, voters="3")
+    run_scenario(scenario, 5, tmp_path, voters="3")
 
 
 def test_holder_suspended_past_its_ttl_notices_the_loss_before_it_acts(tmp_path):
@@ -83,10 +83,12 @@
         rig[name].send(signal.SIGSTOP)
         _, new_token = await wait_for_holder(rig, without(name), token)
         rig[name].send(signal.SIGCONT)
-        await rig.until(lambda: rig[name].logged("lease_lost") != [], "the former holder has logged the loss")
+        await rig.wait_until(
+            lambda: rig[name].logged("lease_lost") != [], "the former holder has logged the loss"
+        )
         assert new_token > token and name not in await current_holders(rig, MEMBERS)
 
-    run_scene(scenario, 5, tmp_path, voters="3")
+    run_scenario(scenario, 5, tmp_path, voters="3")
 
 
 def test_holder_in_the_minority_partition_loses_the_lease_and_the_majority_acquires_it(tmp_path):
@@ -96,12 +98,14 @@
         majority = set(MEMBERS) - minority
         rig.proxy.cut(minority, majority)
         _, new_token = await wait_for_holder(rig, sorted(majority), token)
-        await rig.until(lambda: rig[name].logged("lease_lost") != [], "the former holder has logged the loss")
+        await rig.wait_until(
+            lambda: rig[name].logged("lease_lost") != [], "the former holder has logged the loss"
+        )
         rig.proxy.heal()
-        await rig.agreed()
+        await rig.wait_until_views_agree()
         await wait_for_holder(rig, MEMBERS, new_token - 1)
 
-    run_scene(scenario, 5, tmp_path, voters="3")
+    run_scenario(scenario, 5, tmp_path, voters="3")
 
 
 def test_log_survives_the_kill_of_the_leader_and_a_simultaneous_restart_of_all_members(tmp_path):
@@ -116,7 +120,7 @@
         _, new_token = await wait_for_holder(rig, MEMBERS, token)
         assert new_token > token
 
-    run_scene(scenario, 5, tmp_path, voters="3")
+    run_scenario(scenario, 5, tmp_path, voters="3")
 
 
 def test_voter_without_its_store_does_not_start_and_another_member_holds_the_lease(tmp_path):
@@ -128,7 +132,7 @@
         assert await asyncio.wait_for(rig["m0"].process.wait(), 20) == 2
         await wait_for_holder(rig, MEMBERS[1:], token - 1)
 
-    run_scene(scenario, 5, tmp_path, voters="3")
+    run_scenario(scenario, 5, tmp_path, voters="3")
 
 
 def test_voter_that_was_down_while_the_log_was_compacted_installs_a_snapshot(tmp_path):
@@ -144,9 +148,9 @@
             status = (await rig[await wait_for_leader(rig)].admin_json("/_fleet/leases"))["voter"]
             return status["cut"] > 60 and status["log"] < 60
 
-        await rig.until(is_compacted, "the log is compacted")
+        await rig.wait_until(is_compacted, "the log is compacted")
         await rig[name].start()
-        await rig.until(
+        await rig.wait_until(
             lambda: bool(rig[name].logged("lease_snapshot_installed")),
             "the restarted voter has installed the snapshot",
         )
@@ -157,4 +161,4 @@
         status = (await rig[name].admin_json("/_fleet/leases"))["voter"]
         assert status["working"] and status["cut"] > 60
 
-    run_scene(scenario, 5, tmp_path, voters="3")
+    run_scenario(scenario, 5, tmp_path, voters="3")
--- a/tests/fleet/test_mass_restart.py
+++ b/tests/fleet/test_mass_restart.py
@@ -12,7 +12,7 @@
 
 from stalltiller.daemon.recovery_coordinator import MAX_CONFIRMATION_WAIT_SECONDS
 from stalltiller.recovery import SnapshotStore
-from tests.fleet.rig import Rig, read, read_with_retries, run_scene
+from tests.fleet.rig import Rig, read, read_with_retries, run_scenario
 
 MEMBERS = [f"m{n}" for n in range(4)]
 
@@ -29,7 +29,7 @@
         finally:
             store.close()
 
-    await rig.until(
+    await rig.wait_until(
         lambda: all(rig[name].store_path.exists() and is_saved(name) for name in MEMBERS),
         "all members have saved the target list",
     )
@@ -48,7 +48,9 @@
     for name in names:
         rig[name].log.clear()
     await asyncio.gather(*(rig[name].start() for name in names))
-    await rig.until(lambda: all(rig[name].logged("started") for name in names), "the members have started")
+    await rig.wait_until(
+        lambda: all(rig[name].logged("started") for name in names), "the members have started"
+    )
 
 
 async def kill_and_restart_all(rig: Rig) -> None:
@@ -63,7 +65,7 @@
     async def all_return_status() -> bool:
         return [await rig[name].admin_status("/_ready") for name in names] == [status] * len(names)
 
-    await rig.until(all_return_status, f"/_ready of all returns {status}")
+    await rig.wait_until(all_return_status, f"/_ready of all returns {status}")
 
 
 def all_served(retry_afters_by_client: list[list[float]]) -> bool:
@@ -77,12 +79,12 @@
         rig.discovery.close()
         await kill_and_restart_all(rig)
         assert all_served([await read_with_retries(rig[name].listen, 1) for name in MEMBERS])
-        await rig.until(
+        await rig.wait_until(
             lambda: all(rig[name].logged("recovery_snapshot_loaded") for name in MEMBERS),
             "all members have loaded their snapshots",
         )
 
-    run_scene(scenario, 4, tmp_path, persists_state="true")
+    run_scenario(scenario, 4, tmp_path, persists_state="true")
 
 
 def test_members_without_snapshots_are_not_ready_until_discovery_is_available(tmp_path):
@@ -95,7 +97,7 @@
             shutil.rmtree(rig[name].store_path)
             rig[name].log.clear()
         await asyncio.gather(*(rig[name].start() for name in MEMBERS))
-        await rig.until(
+        await rig.wait_until(
             lambda: all(rig[name].logged("discovery_failed") for name in MEMBERS),
             "calls to discovery have failed",
         )
@@ -104,7 +106,7 @@
         await wait_until_ready(rig, MEMBERS)
         assert all_served([await read_with_retries(rig[name].listen, 1) for name in MEMBERS])
 
-    run_scene(scenario, 4, tmp_path, persists_state="true")
+    run_scenario(scenario, 4, tmp_path, persists_state="true")
 
 
 def test_corrupt_snapshots_are_rejected_and_only_their_members_request_the_full_list(tmp_path):
@@ -120,15 +122,15 @@
             rig[name].log.clear()
         rig.discovery.calls.clear()
         await asyncio.gather(*(rig[name].start() for name in MEMBERS))
-        await rig.until(
+        await rig.wait_until(
             lambda: len(rig.discovery.calls) >= 6, "all members have called discovery, two of them twice"
         )
         assert [len(rig[name].logged("recovery_snapshot_rejected")) for name in MEMBERS] == [1, 1, 0, 0]
         assert sum("after=" not in call for call in rig.discovery.calls) == 2
-        await rig.agreed()
+        await rig.wait_until_views_agree()
         assert all_served([await read_with_retries(rig[name].listen, 1) for name in MEMBERS])
 
-    run_scene(scenario, 4, tmp_path, persists_state="true")
+    run_scenario(scenario, 4, tmp_path, persists_state="true")
 
 
 def test_restarted_members_send_nothing_to_a_target_that_a_peer_reports_as_draining(tmp_path):
@@ -142,12 +144,12 @@
         restarted = MEMBERS[:3]
         await end_members(rig, restarted)
         rig.discovery.set(rig.targets[1], "leaving")
-        await rig.until(
+        await rig.wait_until(
             lambda: any(line["targets"].get("s-1") == "draining" for line in rig["m3"].logged("list")),
             "m3 has learned that s-1 drains",
         )
         rig.discovery.close()
-        attempts_before = len(rig.targets[1].begun)
+        attempts_before = len(rig.targets[1].received)
         await start_members(rig, restarted)
         await wait_until_ready(rig, restarted)
         assert all(
@@ -157,16 +159,16 @@
         retry_afters_by_client = [await read_with_retries(rig[name].listen, 1, shard=1) for name in restarted]
         # Every client was rejected with Retry-After.
         assert all(retry_afters[-1] > 0 for retry_afters in retry_afters_by_client)
-        assert len(rig.targets[1].begun) == attempts_before
+        assert len(rig.targets[1].received) == attempts_before
         assert all_served([await read_with_retries(rig[name].listen, 2) for name in restarted])
         rig.discovery.set(rig.targets[1])  # ready again, which only a member's own discovery may report
         await rig.discovery.open()
-        await rig.until(
+        await rig.wait_until(
             lambda: all(rig[name].logged("list") for name in restarted), "the restarted members have a list"
         )
         assert all_served([await read_with_retries(rig[name].listen, 3, shard=1) for name in restarted])
 
-    run_scene(scenario, 4, tmp_path, persists_state="true", ask_peers_s="3.0")
+    run_scenario(scenario, 4, tmp_path, persists_state="true", ask_peers_s="3.0")
 
 
 def test_drain_is_saved_immediately_and_survives_a_kill_before_the_next_regular_snapshot(tmp_path):
@@ -176,16 +178,16 @@
         await wait_until_saved(rig)
         rig.discovery.close()
         await end_members(rig, MEMBERS)
-        attempts_before = len(rig.targets[1].begun)
+        attempts_before = len(rig.targets[1].received)
         await start_members(rig, MEMBERS)
         assert all_served([await read_with_retries(rig[name].listen, 1) for name in MEMBERS])
         retry_afters_by_client = [await read_with_retries(rig[name].listen, 2, shard=1) for name in MEMBERS]
         assert (
             all(retry_afters[-1] > 0 for retry_afters in retry_afters_by_client)
-            and len(rig.targets[1].begun) == attempts_before
+            and len(rig.targets[1].received) == attempts_before
         )
 
-    run_scene(scenario, 4, tmp_path, persists_state="true", save_every_s="300.0")
+    run_scenario(scenario, 4, tmp_path, persists_state="true", save_every_s="300.0")
 
 
 @pytest.mark.parametrize(("age_seconds", "is_expired"), [(60.0, False), (700.0, True)])
@@ -211,7 +213,7 @@
             store.close()
         await start_members(rig, MEMBERS)
         if is_expired:
-            await rig.until(
+            await rig.wait_until(
                 lambda: all(rig[name].logged("discovery_failed") for name in MEMBERS),
                 "calls to discovery have failed",
             )
@@ -224,7 +226,7 @@
             for name in MEMBERS
         )
 
-    run_scene(scenario, 4, tmp_path, persists_state="true")
+    run_scenario(scenario, 4, tmp_path, persists_state="true")
 
 
 def test_second_wave_of_kills_during_recovery_keeps_discovery_within_its_peak_rate(tmp_path):
@@ -250,18 +252,20 @@
         rig.discovery.times.clear()
         await rig.discovery.open()
         assert all_served(await asyncio.gather(*reads))
-        await rig.until(
+        await rig.wait_until(
             lambda: all(rig[name].logged("recovery_ramp_ended") for name in names),
             "the ramps of all members have ended",
         )
-        await rig.until(lambda: all(rig[name].logged("list") for name in names), "all members have a list")
+        await rig.wait_until(
+            lambda: all(rig[name].logged("list") for name in names), "all members have a list"
+        )
         call_times = rig.discovery.times
         assert max(sum(at - 1.0 < other <= at for other in call_times) for at in call_times) <= 4
         assert sum(bool(rig[name].logged("fault")) for name in names) == 0
-        executed_tags = [tag for target in rig.targets for tag, _ in target.ran]
+        executed_tags = [tag for target in rig.targets for tag, _ in target.executed]
         assert set(executed_tags) >= set(range(36))
 
-    run_scene(scenario, 6, tmp_path, persists_state="true")
+    run_scenario(scenario, 6, tmp_path, persists_state="true")
 
 
 def test_rolling_restart_starts_no_ramp_and_every_retrying_client_is_served(tmp_path):
@@ -282,7 +286,7 @@
             rig[name].logged("recovery_ramp_ended") or rig[name].logged("fault") for name in MEMBERS
         )
 
-    run_scene(scenario, 4, tmp_path, persists_state="true")
+    run_scenario(scenario, 4, tmp_path, persists_state="true")
 
 
 def test_clients_that_retry_at_the_reserved_time_are_served_first(tmp_path):
@@ -299,11 +303,13 @@
             wait for retry_afters in retry_afters_by_client for wait in retry_afters if wait > 0
         }
         assert len(distinct_waits) > 20  # the clients do not all retry at the same time
-        await rig.until(lambda: bool(rig["m0"].logged("recovery_ramp_ended")), "the ramp of m0 has ended")
+        await rig.wait_until(
+            lambda: bool(rig["m0"].logged("recovery_ramp_ended")), "the ramp of m0 has ended"
+        )
         counts = rig["m0"].logged("recovery_ramp_ended")[0]
         assert counts["returned"] >= 0.8 * counts["booked"] > 0
 
-    run_scene(scenario, 4, tmp_path, persists_state="true")
+    run_scenario(scenario, 4, tmp_path, persists_state="true")
 
 
 def test_repeated_restarts_give_a_limited_volume_no_additional_units(tmp_path):
@@ -324,10 +330,10 @@
             await rig["m0"].process.wait()
             rig["m0"].log.clear()
             await rig["m0"].start()
-            await rig.until(lambda: rig["m0"].logged("started") != [], "m0 has started")
+            await rig.wait_until(lambda: rig["m0"].logged("started") != [], "m0 has started")
         elapsed = time.monotonic() - started_at
-        executed = len(rig.targets[0].ran)
+        executed = len(rig.targets[0].executed)
         assert served <= executed <= 27 * elapsed + 44
         assert rig["m0"].logged("recovery_state_restored")[0]["token_levels"] == 1
 
-    run_scene(scenario, 4, tmp_path, persists_state="true")
+    run_scenario(scenario, 4, tmp_path, persists_state="true")
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.fleet.proxy import Fault
-from tests.fleet.rig import ROOT, read, run_scene
+from tests.fleet.rig import ROOT, read, run_scenario
 from tests.stand_ins import HttpTarget
 
 MEMBERS = [f"m{n}" for n in range(6)]
@@ -21,13 +21,13 @@
     async def scenario(rig):
         old_start_times = await rig["m0"].running_members()
         await asyncio.gather(*(rig[name].kill() for name in MEMBERS[3:]))
-        await rig.agreed(*MEMBERS[:3])
+        await rig.wait_until_views_agree(*MEMBERS[:3])
         await asyncio.gather(*(rig[name].start() for name in MEMBERS[3:]))
-        await rig.agreed()
+        await rig.wait_until_views_agree()
         start_times = await rig["m0"].running_members()
         assert all((start_times[name] > old_start_times[name]) == (name in MEMBERS[3:]) for name in MEMBERS)
 
-    run_scene(scenario, 6, tmp_path)
+    run_scenario(scenario, 6, tmp_path)
 
 
 def test_a_member_restarted_before_its_death_is_detected_has_a_later_start_time(tmp_path):
@@ -40,53 +40,55 @@
             views = await asyncio.gather(*(rig[name].running_members() for name in MEMBERS[:4]))
             return all(view.get("m4", 0) > old_start_time for view in views)
 
-        await rig.until(is_known_as_restarted, "m0 to m3 know the new process of m4")
-        await rig.agreed()
+        await rig.wait_until(is_known_as_restarted, "m0 to m3 know the new process of m4")
+        await rig.wait_until_views_agree()
 
-    run_scene(scenario, 6, tmp_path)
+    run_scenario(scenario, 6, tmp_path)
 
 
 def test_a_partition_splits_the_fleet_and_the_halves_merge_when_it_ends(tmp_path):
     async def scenario(rig):
         rig.proxy.cut(set(MEMBERS[:3]), set(MEMBERS[3:]))
-        await asyncio.gather(rig.agreed(*MEMBERS[:3]), rig.agreed(*MEMBERS[3:]))
+        await asyncio.gather(
+            rig.wait_until_views_agree(*MEMBERS[:3]), rig.wait_until_views_agree(*MEMBERS[3:])
+        )
         rig.proxy.heal()
-        await rig.agreed()
+        await rig.wait_until_views_agree()
         assert (await rig["m0"].running_members()).keys() == set(MEMBERS)
 
-    run_scene(scenario, 6, tmp_path)
+    run_scenario(scenario, 6, tmp_path)
 
 
 def test_no_member_is_declared_dead_when_one_direction_between_two_is_cut(tmp_path):
     async def scenario(rig):
         rig.proxy.cut({"m1"}, {"m2"}, both=False)
-        await rig.until(lambda: rig.proxy.lost_datagrams["m1", "m2"] >= 20, "20 datagrams are lost")
+        await rig.wait_until(lambda: rig.proxy.lost_datagrams["m1", "m2"] >= 20, "20 datagrams are lost")
         assert [member.name for member in rig.members.values() if member.logged("fleet_dead")] == []
-        await rig.agreed()
+        await rig.wait_until_views_agree()
 
-    run_scene(scenario, 6, tmp_path)
+    run_scenario(scenario, 6, tmp_path)
 
 
 def test_a_member_suspended_past_the_suspicion_timeout_is_declared_dead_and_refutes_it(tmp_path):
     async def scenario(rig):
         rig["m5"].send(signal.SIGSTOP)
-        await rig.agreed(*MEMBERS[:5])
+        await rig.wait_until_views_agree(*MEMBERS[:5])
         rig["m5"].send(signal.SIGCONT)
-        await rig.agreed()
-        await rig.until(lambda: rig["m5"].logged("fleet_refuted") != [], "m5 refutes its death")
+        await rig.wait_until_views_agree()
+        await rig.wait_until(lambda: rig["m5"].logged("fleet_refuted") != [], "m5 refutes its death")
         assert rig["m5"].logged("fleet_stalled") and not rig["m5"].logged("fleet_dead")
         assert any(rig[name].logged("fleet_dead", "m5") for name in MEMBERS[:5])
 
-    run_scene(scenario, 6, tmp_path)
+    run_scenario(scenario, 6, tmp_path)
 
 
 def test_no_member_is_declared_dead_under_loss_duplication_and_reordering(tmp_path):
     async def scenario(rig):
         rig.proxy.default_fault = Fault(loss=0.1, duplication=0.2, delay=0.03)
-        await rig.until(lambda: sum(rig.proxy.lost_datagrams.values()) >= 60, "60 datagrams are lost")
+        await rig.wait_until(lambda: sum(rig.proxy.lost_datagrams.values()) >= 60, "60 datagrams are lost")
         assert not any(member.logged("fleet_dead") for member in rig.members.values())
 
-    run_scene(scenario, 6, tmp_path)
+    run_scenario(scenario, 6, tmp_path)
 
 
 def test_a_member_that_shuts_down_or_leaves_is_not_declared_dead(tmp_path):
@@ -104,12 +106,12 @@
             stdout=subprocess.PIPE,
         )
         assert (await command.communicate())[0] == b"left\n"
-        await rig.agreed(*MEMBERS[:4])
+        await rig.wait_until_views_agree(*MEMBERS[:4])
         assert not any(rig[name].logged("fleet_dead") for name in MEMBERS[:4])
         assert await rig["m5"].admin_status("/_ready") == 200  # m5 left the fleet but still serves
-        await rig.until(lambda: rig["m4"].process.returncode == 0, "m4 exits")
+        await rig.wait_until(lambda: rig["m4"].process.returncode == 0, "m4 exits")
 
-    run_scene(scenario, 6, tmp_path)
+    run_scenario(scenario, 6, tmp_path)
 
 
 def test_the_budget_of_a_warming_target_is_lent_to_members_in_need_and_not_exceeded(tmp_path):
@@ -121,18 +123,18 @@
 
     async def scenario(rig):
         await rig.all_may_lend()
-        _, warming = await rig.rush(["m0", "m1"], 40, 5.0, "turn_away")
-        first_attempt_at = warming.begun[0][0]
+        _, warming = await rig.read_from_warming_target(["m0", "m1"], 40, 5.0, "reject")
+        first_attempt_at = warming.received[0][0]
         borrowed = [
             (await rig[name].admin_json("/_fleet/status"))["commons"].get("borrowed", 0)
             for name in MEMBERS[:2]
         ]
         assert all(borrowed)
-        for at, _ in warming.begun:
+        for at, _ in warming.received:
             capacity = 8 * (0.15 + 0.85 * (at - first_attempt_at) / 17) / 0.15
-            assert sum(at - 1.0 < other <= at for other, _ in warming.begun) <= capacity + 1
+            assert sum(at - 1.0 < other <= at for other, _ in warming.received) <= capacity + 1
 
-    run_scene(scenario, 6, tmp_path)
+    run_scenario(scenario, 6, tmp_path)
 
 
 def test_members_with_different_target_lists_each_use_their_own(tmp_path):
@@ -148,7 +150,7 @@
         rig.discovery.set(added)
         rig.discovery.set(rig.targets[0], "leaving")
         first_half = [rig["m0"], rig["m1"]]
-        await rig.until(
+        await rig.wait_until(
             lambda: all(
                 any("draining" in line["targets"].values() for line in member.logged("list"))
                 for member in first_half
@@ -158,9 +160,9 @@
         assert [await read(rig[name].listen, 1) for name in MEMBERS[:4]] == [503, 503, 200, 200]
         assert [await read(member.listen, 2, 9) for member in first_half] == [200, 200]
         assert [await read(rig[name].listen, 3, 9) for name in MEMBERS[2:4]] == [503, 503]
-        assert not any(tag == 3 for tag, _ in added.ran)
+        assert not any(tag == 3 for tag, _ in added.executed)
         rig.second_discovery.set(added)
-        await rig.until(
+        await rig.wait_until(
             lambda: all(
                 any("s-9" in line["targets"] for line in member.logged("list"))
                 for member in (rig["m2"], rig["m3"])
@@ -168,9 +170,9 @@
             "the second half has the new list",
         )
         assert [await read(rig[name].listen, 4, 9) for name in MEMBERS[2:4]] == [200, 200]
-        await rig.agreed()
+        await rig.wait_until_views_agree()
 
-    run_scene(scenario, 4, tmp_path, discovery_count="2")
+    run_scenario(scenario, 4, tmp_path, discovery_count="2")
 
 
 def test_units_of_a_limited_volume_are_lent_and_the_fleet_stays_within_its_limit(tmp_path):
@@ -189,10 +191,10 @@
             await asyncio.sleep(1 / 60)
         served = sum(status == 200 for status in await asyncio.gather(*attempts))
         elapsed = time.monotonic() - started_at
-        executed = len(rig.targets[0].ran)
+        executed = len(rig.targets[0].executed)
         assert 1.2 * (13.5 * elapsed + 22) < served <= executed <= 27 * elapsed + 44 + 1
 
-    run_scene(scenario, 2, tmp_path, peers="true")
+    run_scenario(scenario, 2, tmp_path, peers="true")
 
 
 @pytest.mark.parametrize("isolated", [False, True])
@@ -200,7 +202,9 @@
     async def scenario(rig):
         if isolated:
             rig.proxy.cut(set(MEMBERS[:3]), set(MEMBERS[:3]))
-            await rig.until(lambda: sum(rig.proxy.lost_datagrams.values()) >= 10, "the members are isolated")
+            await rig.wait_until(
+                lambda: sum(rig.proxy.lost_datagrams.values()) >= 10, "the members are isolated"
+            )
         assert [await read(rig["m0"].listen, number) for number in range(1, 9)] == [200] * 8
 
-    run_scene(scenario, 3, tmp_path)
+    run_scenario(scenario, 3, tmp_path)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -74,7 +74,7 @@
     return replace(base, **changes)
 
 
-def entry(target_id: int, **changes: object) -> Target:
+def make_target(target_id: int, **changes: object) -> Target:
     base = Target(target_id, 0, 0, target_id, TargetStatus.READY, 1.0, None)
     return replace(base, **changes)
 
@@ -84,7 +84,7 @@
     return replace(base, **changes)
 
 
-def outcome(
+def attempt_finished(
     number: int, target_id: int = 1, status: AttemptStatus = AttemptStatus.OK, **changes: object
 ) -> AttemptFinished:
     base = AttemptFinished(number, 0, target_id, status, 0.05, status is AttemptStatus.OK, None, 0.0, ())
@@ -94,19 +94,19 @@
 class SchedulerHarness:
     """A scheduler with a list of ready targets, and shortcuts to pass events to it."""
 
-    def __init__(self, targets: tuple[Target, ...] = (entry(1),), **changes: object) -> None:
+    def __init__(self, targets: tuple[Target, ...] = (make_target(1),), **changes: object) -> None:
         self.scheduler = Scheduler(settings(**changes), 7, 0.0)
-        self.feed(0.0, TargetListUpdate(TargetListKind.CACHED, targets))
+        self.handle(0.0, TargetListUpdate(TargetListKind.CACHED, targets))
 
-    def feed(self, now: float, *events: Event) -> list[Action]:
+    def handle(self, now: float, *events: Event) -> list[Action]:
         """Handle events and return the actions except timers."""
         actions = self.scheduler.handle(now, list(events))
         return [action for action in actions if not isinstance(action, SetTimer)]
 
     def poll(self, now: float) -> list[Action]:
         """Let the scheduler's poll timer expire."""
-        return self.feed(now, TimerFired(1))
+        return self.handle(now, TimerFired(1))
 
-    def sends(self, now: float, *events: Event) -> list[int]:
+    def started_request_ids(self, now: float, *events: Event) -> list[int]:
         """Handle events and return the ids of the requests that an attempt starts for."""
-        return [a.request_id for a in self.feed(now, *events) if isinstance(a, StartAttempt)]
+        return [a.request_id for a in self.handle(now, *events) if isinstance(a, StartAttempt)]
--- a/tests/rule_checker.py
+++ b/tests/rule_checker.py
@@ -25,7 +25,7 @@
     TargetStatus,
     TimerFired,
 )
-from tests.helpers import entry
+from tests.helpers import make_target
 
 NEVER_EXECUTED = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED)
 POSSIBLY_EXECUTED = (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)
@@ -272,7 +272,7 @@
     return TargetListUpdate(
         TargetListKind.CACHED,
         tuple(
-            entry(
+            make_target(
                 target_id,
                 zone=target_id % 2,
                 shard=target_id,
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -17,18 +17,22 @@
 from stalltiller.scheduling import Idempotency
 from tests.helpers import plan, request_class, rules, settings
 
-BLOCK = 512  # bytes
-PER_UNIT = 32  # blocks
+BLOCK_BYTES = 512
+BLOCKS_PER_UNIT = 32
 VOLUME = 0xA1
 SUBSYSTEM_NQN = "nqn.2026-12.example:canteen"
-DEADLINE = 0.6  # s
-MAX_RETRY_AFTER = 0.5  # s
+DEADLINE_SECONDS = 0.6
+MAX_RETRY_AFTER_SECONDS = 0.5
 NO_RESPONSE_SECONDS = 30.0  # longer than any test runs
 MAX_READ_BYTES = 65536
 CLASSES = (
-    request_class(name="read", latency_objective=0.4, deadline=DEADLINE),
+    request_class(name="read", latency_objective=0.4, deadline=DEADLINE_SECONDS),
     request_class(
-        name="write", latency_objective=0.4, deadline=DEADLINE, idempotency=Idempotency.UNSAFE, is_write=True
+        name="write",
+        latency_objective=0.4,
+        deadline=DEADLINE_SECONDS,
+        idempotency=Idempotency.UNSAFE,
+        is_write=True,
     ),
 )
 
@@ -37,13 +41,13 @@
 class Result:
     """How a request ended for its client."""
 
-    end: str  # served, refused or failed
+    outcome: str  # served, refused or failed
     data: bytes
     elapsed: float  # seconds
     retry_after: float = 0.0  # seconds
 
 
-class Standin:
+class StubServer:
     """A stub server on loopback that tracks its connections in order to close them."""
 
     def __init__(self) -> None:
@@ -88,7 +92,7 @@
     return reader
 
 
-class Discovery(Standin):
+class Discovery(StubServer):
     """A stub discovery service: holds the target list and responds to polls for it."""
 
     def __init__(self) -> None:
@@ -137,10 +141,10 @@
             writer.write(http.encode_response(200, body))
 
 
-class Target(Standin):
+class Target(StubServer):
     """A stub storage server.
 
-    `mode` states what it does with a request: serve, turn_away (reject it before execution), error, silent
+    `mode` states what it does with a request: serve, reject (before execution), error, no_response
     (execute it without a response), break (execute it and close the connection), or stall (stop reading after
     the request's head).
     """
@@ -151,21 +155,21 @@
         self.shard = shard
         self.mode = "serve"
         self.delay = 0.0  # seconds to execute a request
-        self.begun: list[tuple[float, int]] = []  # arrival time (monotonic clock) and tag of each request
-        self.ran: list[tuple[int, bytes]] = []  # the tag and data of each request executed
+        self.received: list[tuple[float, int]] = []  # arrival time (monotonic clock) and tag of each request
+        self.executed: list[tuple[int, bytes]] = []  # the tag and data of each request executed
         self.in_flight = 0
         self.max_in_flight = 0
 
-    async def act(self, tag: int, data: bytes) -> str:
+    async def execute(self, tag: int, data: bytes) -> str:
         """Execute a request unless the mode rejects it; return the mode."""
         mode = self.mode
-        if mode == "turn_away":
+        if mode == "reject":
             return mode
-        self.ran.append((tag, data))
+        self.executed.append((tag, data))
         self.in_flight += 1
         self.max_in_flight = max(self.max_in_flight, self.in_flight)
         try:
-            await asyncio.sleep(NO_RESPONSE_SECONDS if mode == "silent" else self.delay)
+            await asyncio.sleep(NO_RESPONSE_SECONDS if mode == "no_response" else self.delay)
         finally:
             self.in_flight -= 1
         if mode == "break":
@@ -173,7 +177,7 @@
         return mode
 
     @staticmethod
-    def content(tag: int, size: int) -> bytes:
+    def stored_data(tag: int, size: int) -> bytes:
         """Return the data that a read of a tag yields."""
         return (b"%08d" % tag * (size // 8 + 1))[:size]
 
@@ -186,18 +190,18 @@
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             tag = int(head.split(b" ")[1].split(b"/")[-1], 16)
-            self.begun.append((time.monotonic(), tag))
+            self.received.append((time.monotonic(), tag))
             if self.mode == "stall":
                 await asyncio.sleep(NO_RESPONSE_SECONDS)
             message = http.Reader(response=False)
             message.feed(memoryview(head))
             while not message.is_complete:
                 message.feed(memoryview(await reader.read(MAX_READ_BYTES) or b""))
-            mode = await self.act(tag, bytes(message.body))
+            mode = await self.execute(tag, bytes(message.body))
             if mode == "serve":
-                body = b"" if message.head.method == "PUT" else self.content(tag, BLOCK)
+                body = b"" if message.head.method == "PUT" else self.stored_data(tag, BLOCK_BYTES)
                 writer.write(http.encode_response(200, body))
-            elif mode == "turn_away":
+            elif mode == "reject":
                 writer.write(http.encode_response(503, fields={"X-Not-Processed": "1"}))
             else:
                 writer.write(http.encode_response(500))
@@ -225,7 +229,7 @@
                         "Host": "h",
                         "X-Request-ID": f"id{next(self.request_numbers)}",
                         "Tier": "plan",
-                        "X-Timeout": str(DEADLINE),
+                        "X-Timeout": str(DEADLINE_SECONDS),
                         "IO-Info": f"volume={VOLUME:x},units={units},shard={shard},hosts=1",
                     },
                     data,
@@ -235,16 +239,19 @@
         finally:
             writer.transport.abort()
         head = response.head
-        end = {200: "served", 429: "refused", 503: "refused"}.get(head.status, "failed")
+        outcome = {200: "served", 429: "refused", 503: "refused"}.get(head.status, "failed")
         return Result(
-            end, bytes(response.body), time.monotonic() - started_at, float(head.fields.get("retry-after", 0))
+            outcome,
+            bytes(response.body),
+            time.monotonic() - started_at,
+            float(head.fields.get("retry-after", 0)),
         )
 
     def close(self) -> None: ...
 
 
 # --- NVMe/TCP ---------------------------------------------------------------------------------------
-class Pdus:
+class PduStream:
     """Reads PDUs from a connection."""
 
     def __init__(self, reader, writer, allowed) -> None:
@@ -273,14 +280,14 @@
     capsule = nvme.MAX_IN_CAPSULE_BYTES
 
     async def serve(self, reader, writer) -> None:
-        stream = Pdus(reader, writer, nvme.FROM_HOST)
+        stream = PduStream(reader, writer, nvme.FROM_HOST)
         nvme.parse_ic(await stream.next())
         writer.write(nvme.ic_response())
         while True:
             pdu = await stream.next()
             await self.command(stream, nvme.parse_command(pdu), pdu.data)
 
-    async def command(self, stream: Pdus, request: nvme.Command, data: bytes) -> None:
+    async def command(self, stream: PduStream, request: nvme.Command, data: bytes) -> None:
         status = nvme.OK
         result = 0
         size = 0
@@ -291,19 +298,19 @@
             struct.pack_into("<I", page, 1792, (self.capsule + 64) // 16)
             stream.writer.write(nvme.data_pdu(nvme.C2H_DATA, request.cid, 0, 0, bytes(page)))
         elif request.opcode in (nvme.READ, nvme.WRITE):
-            self.begun.append((time.monotonic(), request.lba))
+            self.received.append((time.monotonic(), request.lba))
             if request.opcode == nvme.WRITE and not data:
                 stream.writer.write(nvme.r2t(request.cid, 5, 0, request.length))
             if self.mode == "stall":
                 await asyncio.sleep(NO_RESPONSE_SECONDS)
             while request.opcode == nvme.WRITE and len(data) < request.length:
                 data += (await stream.next()).data
-            mode = await self.act(request.lba, data)
-            status = {"serve": nvme.OK, "turn_away": nvme.NAMESPACE_NOT_READY}.get(mode, nvme.INTERNAL_ERROR)
+            mode = await self.execute(request.lba, data)
+            status = {"serve": nvme.OK, "reject": nvme.NAMESPACE_NOT_READY}.get(mode, nvme.INTERNAL_ERROR)
             size = request.length if request.opcode == nvme.READ and mode == "serve" else 0
             if size:
                 stream.writer.write(
-                    nvme.data_pdu(nvme.C2H_DATA, request.cid, 0, 0, self.content(request.lba, size))
+                    nvme.data_pdu(nvme.C2H_DATA, request.cid, 0, 0, self.stored_data(request.lba, size))
                 )
         stream.writer.write(nvme.completion(nvme.Completion(request.cid, status, result), 0, 0))
 
@@ -313,14 +320,14 @@
 
     def __init__(self, port: int) -> None:
         self.port = port
-        self.streams: list[Pdus] = []
+        self.streams: list[PduStream] = []
         self.retry_delays = (0, 0, 0)  # command retry delays in units of 100 ms
 
     async def open(self) -> None: ...
 
-    async def queue(self, number: int, controller: int, keep_alive: float = 0) -> tuple[Pdus, int]:
+    async def queue(self, number: int, controller: int, keep_alive: float = 0) -> tuple[PduStream, int]:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        stream = Pdus(reader, writer, nvme.FROM_CONTROLLER)
+        stream = PduStream(reader, writer, nvme.FROM_CONTROLLER)
         self.streams.append(stream)
         writer.write(nvme.ic_request())
         nvme.parse_ic(await stream.next())
@@ -329,7 +336,7 @@
         assert completion.status == nvme.OK
         return stream, completion.result
 
-    async def associate(self) -> tuple[Pdus, Pdus]:
+    async def associate(self) -> tuple[PduStream, PduStream]:
         admin, controller = await self.queue(0, nvme.DYNAMIC_CONTROLLER_ID)
         admin.writer.write(nvme.property_set(2, nvme.CC, nvme.CC_ENABLE))
         assert nvme.parse_completion(await admin.next()).status == nvme.OK
@@ -344,12 +351,18 @@
     async def request(self, write: bool, tag: int, data: bytes, shard: int, units: int) -> Result:
         admin, io = await self.associate()
         started_at = time.monotonic()
-        size = len(data) if write else BLOCK * PER_UNIT * units
+        size = len(data) if write else BLOCK_BYTES * BLOCKS_PER_UNIT * units
         capsule_data = data if len(data) <= nvme.MAX_IN_CAPSULE_BYTES else b""
         try:
             io.writer.write(
                 nvme.io_command(
-                    nvme.WRITE if write else nvme.READ, 9, shard + 1, tag, size // BLOCK, size, capsule_data
+                    nvme.WRITE if write else nvme.READ,
+                    9,
+                    shard + 1,
+                    tag,
+                    size // BLOCK_BYTES,
+                    size,
+                    capsule_data,
                 )
             )
             read_data = b""
@@ -382,7 +395,7 @@
 
 
 # --- Initiator, discovery and targets ---------------------------------------------------------------
-class World:
+class InitiatorHarness:
     """One initiator with discovery, two targets and a client; `kind` is http or nvme."""
 
     def __init__(self, kind: str, **changes: object) -> None:
@@ -395,7 +408,7 @@
             "classes": CLASSES,
             "plans": (plan(rate=500.0, reservation=500.0),),
             "max_attempts": 4,
-            "max_retry_after": MAX_RETRY_AFTER,
+            "max_retry_after": MAX_RETRY_AFTER_SECONDS,
             "rules": rules(drain_grace=0.5),
             **changes,
         }
@@ -408,9 +421,13 @@
 
     def config(self) -> Config:
         namespaces = {
-            shard + 1: Namespace(VOLUME, 0, shard, 1, 1 << 40, BLOCK, PER_UNIT) for shard in range(2)
+            shard + 1: Namespace(VOLUME, 0, shard, 1, 1 << 40, BLOCK_BYTES, BLOCKS_PER_UNIT)
+            for shard in range(2)
+        }
+        opcodes = {
+            nvme.READ: OpcodeMapping(0, DEADLINE_SECONDS),
+            nvme.WRITE: OpcodeMapping(1, DEADLINE_SECONDS),
         }
-        opcodes = {nvme.READ: OpcodeMapping(0, DEADLINE), nvme.WRITE: OpcodeMapping(1, DEADLINE)}
         mapping = Mapping(SUBSYSTEM_NQN, namespaces, opcodes) if self.kind == "nvme" else None
         discovery_address = ("127.0.0.1", self.discovery.port)
         return Config(
@@ -429,19 +446,19 @@
             mapping,
         )
 
-    async def __aenter__(self) -> World:
+    async def __aenter__(self) -> InitiatorHarness:
         for target in self.targets:
             await target.open()
             self.discovery.set(target)
         await self.discovery.open()
-        self.app = Application(self.changed(self.config()), self.log, asyncio.get_running_loop())
+        self.app = Application(self.adjust_config(self.config()), self.log, asyncio.get_running_loop())
         self.running = asyncio.create_task(self.app.run())
         await self.app.started.wait()
-        await self.until(lambda: self.app.is_ready())
+        await self.wait_until(lambda: self.app.is_ready())
         self.client = (HttpClient if self.kind == "http" else NvmeClient)(self.app.listener.address[1])
         return self
 
-    def changed(self, config: Config) -> Config:
+    def adjust_config(self, config: Config) -> Config:
         """Return the configuration to use; subclasses override this to adjust it."""
         return replace(config)
 
@@ -449,11 +466,11 @@
         self.client.close()
         self.running.cancel()
         await asyncio.gather(self.running, return_exceptions=True)
-        for standin in (self.discovery, *self.targets):
-            standin.close()
+        for stub in (self.discovery, *self.targets):
+            stub.close()
         await asyncio.sleep(0)
 
-    async def until(self, condition, limit: float = 5.0) -> None:
+    async def wait_until(self, condition, limit: float = 5.0) -> None:
         """Wait until a condition holds, at most `limit` seconds."""
         deadline = time.monotonic() + limit
         while not condition():
@@ -463,8 +480,8 @@
     async def read(self, tag: int = 1, shard: int = 0, units: int = 1) -> Result:
         return await self.client.request(False, tag, b"", shard, units)
 
-    async def write(self, tag: int = 1, shard: int = 0, size: int = BLOCK) -> Result:
-        return await self.client.request(True, tag, Target.content(tag, size), shard, 1)
+    async def write(self, tag: int = 1, shard: int = 0, size: int = BLOCK_BYTES) -> Result:
+        return await self.client.request(True, tag, Target.stored_data(tag, size), shard, 1)
 
     def faults(self) -> list[dict]:
         """Return the logged faults, which the engine handles without stopping."""
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -15,7 +15,7 @@
     state,
     target_load,
 )
-from tests.helpers import SchedulerHarness, entry, outcome, request, request_class
+from tests.helpers import SchedulerHarness, attempt_finished, make_target, request, request_class
 
 
 def pending_request(harness: SchedulerHarness, number: int):
@@ -23,55 +23,57 @@
 
 
 def test_a_timeout_below_the_objective_is_not_taken_for_a_retry():
-    harness = SchedulerHarness(targets=(entry(1, status=TargetStatus.DRAINING),))  # nothing can be sent
-    harness.feed(0.0, request(1, time_remaining=3.0))
-    harness.feed(0.1, request(2, time_remaining=0.9))  # a retry would have at least the objective left
+    harness = SchedulerHarness(targets=(make_target(1, status=TargetStatus.DRAINING),))  # nothing can be sent
+    harness.handle(0.0, request(1, time_remaining=3.0))
+    harness.handle(0.1, request(2, time_remaining=0.9))  # a retry would have at least the objective left
     assert pending_request(harness, 2).due_at == pytest.approx(
         0.1 + 0.9 - scheduler.FINAL_RESPONSE_MARGIN_SECONDS
     )
 
 
 def test_a_retry_has_the_remainder_of_the_objective():
-    harness = SchedulerHarness(targets=(entry(1, status=TargetStatus.DRAINING),))
-    harness.feed(0.0, request(1, time_remaining=3.0))
-    harness.feed(0.1, request(2, time_remaining=2.5))
+    harness = SchedulerHarness(targets=(make_target(1, status=TargetStatus.DRAINING),))
+    harness.handle(0.0, request(1, time_remaining=3.0))
+    harness.handle(0.1, request(2, time_remaining=2.5))
     assert pending_request(harness, 2).due_at == pytest.approx(0.6)
 
 
 def test_a_request_that_its_client_will_abandon_is_rejected_without_an_attempt():
     harness = SchedulerHarness()
-    harness.feed(0.0, request(1))
+    harness.handle(0.0, request(1))
     target = harness.scheduler.targets[1]
     target.latency = 0.4
-    rejected = harness.feed(0.01, request(2, time_remaining=scheduler.MIN_CLIENT_WAIT_FACTOR * 0.4))
+    rejected = harness.handle(0.01, request(2, time_remaining=scheduler.MIN_CLIENT_WAIT_FACTOR * 0.4))
     assert rejected == [Reject(2, 1.5)]
-    assert harness.sends(0.02, request(3, time_remaining=0.4 + scheduler.MIN_CLIENT_WAIT_FACTOR * 0.4)) == [3]
+    assert harness.started_request_ids(
+        0.02, request(3, time_remaining=0.4 + scheduler.MIN_CLIENT_WAIT_FACTOR * 0.4)
+    ) == [3]
 
 
 def test_a_short_client_timeout_does_not_reduce_the_concurrency_limit():
     harness = SchedulerHarness()
-    harness.feed(0.0, request(1, time_remaining=0.15))
+    harness.handle(0.0, request(1, time_remaining=0.15))
     limit = harness.scheduler.targets[1].concurrency_limit
-    harness.feed(0.15, outcome(1, status=AttemptStatus.TIMEOUT, latency=0.15))
+    harness.handle(0.15, attempt_finished(1, status=AttemptStatus.TIMEOUT, latency=0.15))
     assert harness.scheduler.targets[1].concurrency_limit == limit
 
 
 def test_an_excessive_client_timeout_does_not_affect_later_requests():
     """Guards against one X-Timeout of a minute turning every later request into a rejected late retry."""
     harness = SchedulerHarness()
-    harness.feed(0.0, request(1, time_remaining=60.0))
-    assert harness.sends(0.1, request(2, time_remaining=3.0)) == [2]
+    harness.handle(0.0, request(1, time_remaining=60.0))
+    assert harness.started_request_ids(0.1, request(2, time_remaining=3.0)) == [2]
     assert pending_request(harness, 2).due_at == pytest.approx(1.1)
 
 
 def test_a_request_that_reached_no_target_is_rejected_before_half_of_its_timeout():
-    harness = SchedulerHarness(targets=(entry(1, status=TargetStatus.DRAINING),))  # nothing can be sent
-    harness.feed(0.0, request(1, time_remaining=0.9))
+    harness = SchedulerHarness(targets=(make_target(1, status=TargetStatus.DRAINING),))  # nothing can be sent
+    harness.handle(0.0, request(1, time_remaining=0.9))
     assert harness.poll(0.40) == []
     assert harness.poll(0.44) == [Reject(1, 1.5)]
     harness = SchedulerHarness()
-    assert harness.sends(0.0, request(1, time_remaining=0.9)) == [1]
-    harness.feed(0.1, outcome(1, status=AttemptStatus.CONNECT_FAILED))
+    assert harness.started_request_ids(0.0, request(1, time_remaining=0.9)) == [1]
+    harness.handle(0.1, attempt_finished(1, status=AttemptStatus.CONNECT_FAILED))
     assert harness.poll(0.44) in (
         [Reject(1, 1.5)],
         [StartAttempt(1, 1, pytest.approx(0.9, abs=0.1))],
@@ -80,12 +82,12 @@
 
 def test_state_of_unused_volumes_and_shards_is_removed():
     """Guards against tables by volume and shard that grow without bound as new ones appear."""
-    harness = SchedulerHarness(targets=tuple(entry(n) for n in range(50)))
+    harness = SchedulerHarness(targets=tuple(make_target(n) for n in range(50)))
     for n in range(50):
-        harness.feed(n * 0.01, request(n, volume=n, shard=n))
-        harness.feed(n * 0.01 + 0.005, outcome(n, target_id=n))
+        harness.handle(n * 0.01, request(n, volume=n, shard=n))
+        harness.handle(n * 0.01 + 0.005, attempt_finished(n, target_id=n))
     forgotten_at = 1.0 + scheduler.VOLUME_EXPIRY_SECONDS
-    harness.feed(forgotten_at, request(99, volume=99, shard=1))
+    harness.handle(forgotten_at, request(99, volume=99, shard=1))
     assert set(harness.scheduler.volumes) == {99} and set(harness.scheduler.contention.requested_at) == {1}
     assert sum(len(target.allocations) for target in harness.scheduler.targets.values()) == 1
 
@@ -94,9 +96,9 @@
     """Guards against attempts on stalled connections that stay in flight until their objective has passed."""
     harness = SchedulerHarness()
     target = harness.scheduler.targets[1]
-    assert harness.sends(0.0, *(request(n) for n in range(1, 5))) == [1, 2, 3, 4]
+    assert harness.started_request_ids(0.0, *(request(n) for n in range(1, 5))) == [1, 2, 3, 4]
     target.in_flight[1].sent_at = -0.01  # sent slightly before the others
-    harness.feed(0.02, *(outcome(n, latency=0.02) for n in (2, 3, 4)))
+    harness.handle(0.02, *(attempt_finished(n, latency=0.02) for n in (2, 3, 4)))
     assert target.in_flight[1].overtaken_count == target_load.MIN_OVERTAKEN_COUNT
     limit = target.concurrency_limit
     assert harness.poll(0.03) == []
@@ -106,35 +108,36 @@
     lost_after += scheduler.LOST_ATTEMPT_MARGIN_SECONDS
     assert harness.poll(lost_after) == [CancelAttempt(1, 0)]
     assert harness.poll(lost_after + 0.01) == []  # cancelled only once
-    assert harness.sends(
-        lost_after + 0.02, outcome(1, status=AttemptStatus.CANCELLED, request_done=False, latency=lost_after)
+    assert harness.started_request_ids(
+        lost_after + 0.02,
+        attempt_finished(1, status=AttemptStatus.CANCELLED, request_done=False, latency=lost_after),
     ) == [1]
     assert target.concurrency_limit == limit  # a cancelled attempt is no sign of load
 
 
 def test_an_overtaken_unsafe_write_is_not_cancelled():
     harness = SchedulerHarness(classes=(request_class(idempotency=Idempotency.UNSAFE, is_write=True),))
-    harness.feed(0.0, *(request(n) for n in range(1, 5)))
+    harness.handle(0.0, *(request(n) for n in range(1, 5)))
     harness.scheduler.targets[1].in_flight[1].sent_at = -0.01
-    harness.feed(0.02, *(outcome(n, latency=0.02) for n in (2, 3, 4)))
+    harness.handle(0.02, *(attempt_finished(n, latency=0.02) for n in (2, 3, 4)))
     assert harness.poll(0.9) == []
 
 
 def test_a_connection_reset_does_not_reduce_the_concurrency_limit():
     harness = SchedulerHarness()
-    harness.feed(0.0, request(1))
-    harness.feed(0.3, outcome(1, status=AttemptStatus.RESET, request_done=False, latency=0.3))
+    harness.handle(0.0, request(1))
+    harness.handle(0.3, attempt_finished(1, status=AttemptStatus.RESET, request_done=False, latency=0.3))
     assert harness.scheduler.targets[1].concurrency_limit == state.INITIAL_CONCURRENCY
 
 
 def test_a_target_with_high_measured_latency_is_tried_again():
     """Guards against a mean latency above every objective that never falls because no attempt is made."""
     harness = SchedulerHarness()
-    harness.feed(0.0, request(1))
-    harness.feed(0.1, outcome(1))
+    harness.handle(0.0, request(1))
+    harness.handle(0.1, attempt_finished(1))
     target = harness.scheduler.targets[1]
     target.latency, target.concurrency_limit = 5.0, target_load.MIN_CONCURRENCY
-    assert harness.sends(0.3, request(2)) == []
-    assert harness.sends(0.2 + scheduler.LATENCY_EXPIRY_SECONDS, request(3)) == [3]
+    assert harness.started_request_ids(0.3, request(2)) == []
+    assert harness.started_request_ids(0.2 + scheduler.LATENCY_EXPIRY_SECONDS, request(3)) == [3]
     target.latency = 5.0
-    assert harness.sends(0.21 + scheduler.LATENCY_EXPIRY_SECONDS, request(4)) == []
+    assert harness.started_request_ids(0.21 + scheduler.LATENCY_EXPIRY_SECONDS, request(4)) == []
--- a/tests/test_contention.py
+++ b/tests/test_contention.py
@@ -19,7 +19,7 @@
 )
 from stalltiller.scheduling.contention import ContentionEstimator
 from stalltiller.scheduling.scheduler import Scheduler
-from tests.helpers import entry, outcome, request, request_class, rules, settings
+from tests.helpers import attempt_finished, make_target, request, request_class, rules, settings
 
 INITIATORS, SHARDS = 200, 200
 STARTED_AT, SLOW_START_SECONDS, INITIAL_FRACTION, UNITS = 3.0, 17.0, 0.15, 1.0
@@ -72,8 +72,10 @@
     """
 
     def __init__(self, seed: int, busy_fraction: float) -> None:
-        self.draw = random.Random(seed)
-        targets = tuple(entry(n, started_at=STARTED_AT if n == 1 else None) for n in range(1, SHARDS + 1))
+        self.rng = random.Random(seed)
+        targets = tuple(
+            make_target(n, started_at=STARTED_AT if n == 1 else None) for n in range(1, SHARDS + 1)
+        )
         fleet_settings = settings(
             initiator_count=INITIATORS,
             slow_start_units=UNITS,
@@ -87,17 +89,23 @@
         self.schedulers = [Scheduler(fleet_settings, seed * 1000 + n, 0.0) for n in range(INITIATORS)]
         for scheduler in self.schedulers:
             scheduler.handle(0.0, [TargetListUpdate(TargetListKind.CACHED, targets)])
-        self.free, self.number, self.ends, self.sent, self.complete = STARTED_AT, 0, [], [], 0
+        self.target_free_at, self.request_count, self.attempt_ends, self.sent, self.completed_units = (
+            STARTED_AT,
+            0,
+            [],
+            [],
+            0,
+        )
         volumes = [
             (
-                self.draw.sample(range(1, SHARDS + 1), self.draw.randint(1, 4)),
-                self.draw.sample(range(INITIATORS), self.draw.randint(1, 3)),
-                self.draw.choice([1, 1, 2, 3, 8]),
+                self.rng.sample(range(1, SHARDS + 1), self.rng.randint(1, 4)),
+                self.rng.sample(range(INITIATORS), self.rng.randint(1, 3)),
+                self.rng.choice([1, 1, 2, 3, 8]),
             )
             for _ in range(6 * SHARDS)
         ]
         for shards, _, _ in volumes:
-            if self.draw.random() < busy_fraction:
+            if self.rng.random() < busy_fraction:
                 shards[0] = 1
         self.volumes = volumes
 
@@ -112,15 +120,23 @@
             if isinstance(action, StartAttempt):
                 units = float(action.request_id % 3 + 1)
                 self.sent.append((now, units))
-                begin, size = max(self.free, now), units / self.capacity(now)
+                begin, size = max(self.target_free_at, now), units / self.capacity(now)
                 if begin - now > 1.0:
                     heapq.heappush(
-                        self.ends, (now + 0.002, index, action.request_id, 0.002, AttemptStatus.REJECTED)
+                        self.attempt_ends,
+                        (now + 0.002, index, action.request_id, 0.002, AttemptStatus.REJECTED),
                     )
                 else:
-                    self.free = begin + size
+                    self.target_free_at = begin + size
                     heapq.heappush(
-                        self.ends, (self.free, index, action.request_id, self.free - now, AttemptStatus.OK)
+                        self.attempt_ends,
+                        (
+                            self.target_free_at,
+                            index,
+                            action.request_id,
+                            self.target_free_at - now,
+                            AttemptStatus.OK,
+                        ),
                     )
 
     def run(self, seconds: float) -> float:
@@ -128,24 +144,24 @@
         sums = list(itertools.accumulate(weight for _, _, weight in self.volumes))
         now = 0.0
         while now < seconds:
-            now += self.draw.expovariate(6.0 * SHARDS)
-            while self.ends and self.ends[0][0] <= now:
-                at, index, number, latency, status = heapq.heappop(self.ends)
-                self.complete += (number % 3 + 1) * (status is AttemptStatus.OK)
+            now += self.rng.expovariate(6.0 * SHARDS)
+            while self.attempt_ends and self.attempt_ends[0][0] <= now:
+                at, index, number, latency, status = heapq.heappop(self.attempt_ends)
+                self.completed_units += (number % 3 + 1) * (status is AttemptStatus.OK)
                 if number in self.schedulers[index].pending:
-                    self.handle(at, index, outcome(number, status=status, latency=latency))
-            volume = self.draw.choices(range(len(sums)), cum_weights=sums)[0]
+                    self.handle(at, index, attempt_finished(number, status=status, latency=latency))
+            volume = self.rng.choices(range(len(sums)), cum_weights=sums)[0]
             shards, initiators, _ = self.volumes[volume]
-            shard, index = self.draw.choice(shards), self.draw.choice(initiators)
+            shard, index = self.rng.choice(shards), self.rng.choice(initiators)
             if shard == 1 and now >= STARTED_AT:
-                self.number += 1
+                self.request_count += 1
                 self.handle(
                     now,
                     index,
                     request(
-                        self.number,
+                        self.request_count,
                         volume=volume,
-                        units=float(self.number % 3 + 1),
+                        units=float(self.request_count % 3 + 1),
                         volume_initiator_count=len(initiators),
                         time_remaining=1.2,
                     ),
@@ -188,7 +204,7 @@
 
 def test_a_rejecting_or_slow_warming_target_gets_a_smaller_share_until_it_responds_in_time():
     scheduler = Scheduler(settings(initiator_count=1, rules=rules(slow_start_duration=100.0)), 1, 0.0)
-    scheduler.handle(0.0, [TargetListUpdate(TargetListKind.FULL, (entry(1, started_at=0.0),))])
+    scheduler.handle(0.0, [TargetListUpdate(TargetListKind.FULL, (make_target(1, started_at=0.0),))])
     backoffs = []
     results = [
         (AttemptStatus.OK, 0.9),
@@ -199,6 +215,6 @@
     for number, (status, latency) in enumerate(results):
         now = 10.0 + number
         scheduler.handle(now, [request(number)])
-        scheduler.handle(now + latency, [outcome(number, status=status, latency=latency)])
+        scheduler.handle(now + latency, [attempt_finished(number, status=status, latency=latency)])
         backoffs.append(scheduler.targets[1].overload_backoff)
     assert backoffs == [0.5, 0.75, 1.0, 0.5]
--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -23,12 +23,12 @@
     TargetStatus,
 )
 from tests.decision_world import Scenario, World
-from tests.helpers import entry, plan, request_class, rules, settings
+from tests.helpers import make_target, plan, request_class, rules, settings
 
 DIGESTS = Path(__file__).parent / "fixtures" / "decision_digests.json"
 SEEDS = (1, 2, 3)
 READY, DRAINING, REMOVED = TargetStatus.READY, TargetStatus.DRAINING, TargetStatus.REMOVED
-TARGETS = tuple(entry(number, shard=number % 3, zone=number % 2) for number in range(1, 7))
+TARGETS = tuple(make_target(number, shard=number % 3, zone=number % 2) for number in range(1, 7))
 FAILURES = (
     (AttemptStatus.REJECTED, 0.08),
     (AttemptStatus.CONNECT_FAILED, 0.04),
@@ -115,7 +115,9 @@
         settings(classes=(*KEYED, *CLASSES), max_attempts=4),
         targets=TARGETS,
         failure_fractions=FAILURES,
-        list_updates=((3.0, list_update(TargetListKind.DELTA, entry(3, shard=0, zone=1, status=DRAINING))),),
+        list_updates=(
+            (3.0, list_update(TargetListKind.DELTA, make_target(3, shard=0, zone=1, status=DRAINING))),
+        ),
     )
 
 
@@ -167,7 +169,9 @@
 
 def cold() -> Scenario:
     """Targets that have just started, drain, are removed or restart."""
-    started = tuple(entry(number, shard=number % 3, started_at=0.4 * number - 1.0) for number in range(4, 7))
+    started = tuple(
+        make_target(number, shard=number % 3, started_at=0.4 * number - 1.0) for number in range(4, 7)
+    )
     return Scenario(
         frozenset({"send", "retry", "refuse"}),
         settings(classes=CLASSES, slow_start_units=20.0),
@@ -176,15 +180,17 @@
         failure_fractions=FAILURES,
         arrivals=((0.0, 8.0, 120.0),),
         list_updates=(
-            (2.0, list_update(TargetListKind.DELTA, entry(1, shard=1, status=DRAINING))),
+            (2.0, list_update(TargetListKind.DELTA, make_target(1, shard=1, status=DRAINING))),
             (
                 3.0,
                 list_update(
-                    TargetListKind.DELTA, entry(4, shard=1, status=REMOVED), entry(9, shard=2, started_at=3.0)
+                    TargetListKind.DELTA,
+                    make_target(4, shard=1, status=REMOVED),
+                    make_target(9, shard=2, started_at=3.0),
                 ),
             ),
-            (4.0, list_update(TargetListKind.FULL, *started[1:], entry(1, shard=1, started_at=4.0))),
-            (5.0, list_update(TargetListKind.CACHED, *started, entry(9, shard=2, started_at=5.0))),
+            (4.0, list_update(TargetListKind.FULL, *started[1:], make_target(1, shard=1, started_at=4.0))),
+            (5.0, list_update(TargetListKind.CACHED, *started, make_target(9, shard=2, started_at=5.0))),
         ),
     )
 
@@ -196,7 +202,7 @@
 
 def cold_in_fleet() -> Scenario:
     """A fleet divides the budgets of warming targets among its members."""
-    targets = tuple(entry(number, shard=number % 2, started_at=-0.5 * number) for number in range(1, 5))
+    targets = tuple(make_target(number, shard=number % 2, started_at=-0.5 * number) for number in range(1, 5))
     return Scenario(
         frozenset({"send", "refuse"}),
         settings(classes=CLASSES, slow_start_units=20.0),
@@ -295,10 +301,10 @@
 def rejecting() -> Scenario:
     """Targets, some of them warming up, reject most attempts."""
     targets = (
-        entry(1),
-        entry(2, shard=1),
-        entry(3, shard=1, started_at=-1.0),
-        entry(4, shard=2, started_at=0.0),
+        make_target(1),
+        make_target(2, shard=1),
+        make_target(3, shard=1, started_at=-1.0),
+        make_target(4, shard=2, started_at=0.0),
     )
     return Scenario(
         frozenset({"send", "retry", "refuse"}),
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,8 +14,8 @@
 import pytest
 
 from stalltiller.protocol import http
-from tests.stand_ins import BLOCK, Discovery, HttpTarget, read_message
-from tests.test_program import EXAMPLE, start
+from tests.stand_ins import BLOCK_BYTES, Discovery, HttpTarget, read_message
+from tests.test_program import EXAMPLE_CONFIG, start_program
 
 IDLE_CLIENTS = 300
 IDLE_ADMIN_CLIENTS = 40
@@ -66,15 +66,15 @@
 ) -> subprocess.Popen:
     """Start an initiator with `max_descriptors` as its configured and its actual descriptor limit."""
     config = {
-        **EXAMPLE,
+        **EXAMPLE_CONFIG,
         "listen": "127.0.0.1:0",
         "discovery": f"127.0.0.1:{discovery.port}",
         "known": None,
         "admin": f"127.0.0.1:{admin[1]}",
-        "limits": {**EXAMPLE["limits"], "sockets": max_descriptors},
+        "limits": {**EXAMPLE_CONFIG["limits"], "sockets": max_descriptors},
     }
     path.write_text(json.dumps(config))
-    return start(
+    return start_program(
         PROXY_CONFIG=str(path),
         preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors)),
     )
@@ -91,14 +91,14 @@
     fields = {
         "Host": "h",
         "X-Request-ID": "id1",
-        "Tier": EXAMPLE["settings"]["contracts"][1]["name"],
+        "Tier": EXAMPLE_CONFIG["settings"]["contracts"][1]["name"],
         "X-Timeout": "1.2",
         "IO-Info": "volume=a1,units=1,shard=0,hosts=1",
     }
     reader, writer = await asyncio.open_connection(*address)
     writer.write(http.encode_request("GET", "/order-read/1", fields, b""))
     response = await read_message(reader, response=True)
-    assert (response.head.status, bytes(response.body)) == (200, target.content(1, BLOCK))
+    assert (response.head.status, bytes(response.body)) == (200, target.stored_data(1, BLOCK_BYTES))
     writer.close()
 
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -21,7 +21,15 @@
     TargetListKind,
     TargetStatus,
 )
-from tests.helpers import SchedulerHarness, entry, outcome, request, request_class, rules, settings
+from tests.helpers import (
+    SchedulerHarness,
+    attempt_finished,
+    make_target,
+    request,
+    request_class,
+    rules,
+    settings,
+)
 
 
 class RecordingResponseHandler:
@@ -86,7 +94,7 @@
         engine.target_client = RecordingTargetClient()
         if actions_for is not None:
             engine._scheduler = ScriptedScheduler(actions_for)
-        engine.update_targets(TargetListKind.FULL, [TargetEndpoint(entry(1), "h", 1)])
+        engine.update_targets(TargetListKind.FULL, [TargetEndpoint(make_target(1), "h", 1)])
         await scenario(engine, engine.target_client)
 
     asyncio.run(run())
@@ -202,7 +210,7 @@
 def test_no_attempt_starts_at_a_target_after_its_drain_grace():
     async def scenario(engine, target_client):
         engine.update_targets(
-            TargetListKind.DELTA, [TargetEndpoint(entry(1, status=TargetStatus.DRAINING), "h", 1)]
+            TargetListKind.DELTA, [TargetEndpoint(make_target(1, status=TargetStatus.DRAINING), "h", 1)]
         )
         engine.submit(client_request(RecordingResponseHandler()))
         await run_batches()
@@ -323,11 +331,11 @@
     harness = SchedulerHarness(
         classes=(request_class(idempotency=Idempotency.UNSAFE),), max_attempts=attempt_count
     )
-    harness.feed(0.0, request(1))
+    harness.handle(0.0, request(1))
     actions = []
     for attempt in range(attempt_count):
-        actions = harness.feed(
-            0.2 * attempt + 0.1, outcome(1, status=AttemptStatus.REJECTED, attempt_number=attempt)
+        actions = harness.handle(
+            0.2 * attempt + 0.1, attempt_finished(1, status=AttemptStatus.REJECTED, attempt_number=attempt)
         )
         actions += harness.poll(0.2 * attempt + 0.25)
     assert [type(action) for action in actions] == [Reject]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
     token_messages,
 )
 from stalltiller.scheduling.scheduler import Scheduler
-from tests.helpers import entry, outcome, plan, request, rules, settings
+from tests.helpers import attempt_finished, make_target, plan, request, rules, settings
 
 TARGET_COUNT = 12
 
@@ -47,7 +47,7 @@
     Each initiator has steady traffic to its own choice of `targets_per_initiator` targets.
     """
     targets = tuple(
-        entry(target_id, started_at=3.0 if target_id == 1 else None)
+        make_target(target_id, started_at=3.0 if target_id == 1 else None)
         for target_id in range(1, TARGET_COUNT + 1)
     )
     schedulers = create_schedulers(
@@ -106,7 +106,7 @@
     """Initiators of one limited volume: one at a time is busy, its peers have little demand."""
 
     def __init__(self, seed: int, loss: float = 0.0, duplication: float = 0.0, crash_every: int = 0) -> None:
-        self.targets = tuple(entry(target_id) for target_id in range(1, 5))
+        self.targets = tuple(make_target(target_id) for target_id in range(1, 5))
         self.schedulers = create_schedulers(
             INITIATOR_COUNT, self.targets, plans=(LIMITED_PLAN,), may_message=True
         )
@@ -123,7 +123,9 @@
         for action in self.schedulers[index].handle(now, events):
             if isinstance(action, StartAttempt):
                 self.sent.append((now, float(action.request_id % 4 + 1)))
-                self.responses.append((now + 0.02, index, outcome(action.request_id, action.target_id)))
+                self.responses.append(
+                    (now + 0.02, index, attempt_finished(action.request_id, action.target_id))
+                )
             elif isinstance(action, SendPeerMessage):
                 peers = [peer for peer in range(INITIATOR_COUNT) if peer != index]
                 for peer in peers if action.initiator_index is None else [action.initiator_index]:
@@ -203,7 +205,7 @@
 
 
 def test_malformed_and_misdirected_messages_are_ignored():
-    (scheduler,) = create_schedulers(1, (entry(1),), plans=(LIMITED_PLAN,), may_message=True)
+    (scheduler,) = create_schedulers(1, (make_target(1),), plans=(LIMITED_PLAN,), may_message=True)
     scheduler.settings = settings(
         initiator_index=0, initiator_count=INITIATOR_COUNT, plans=(LIMITED_PLAN,), may_message=True
     )
@@ -239,7 +241,7 @@
 
 
 def test_a_message_is_ignored_where_messages_are_not_permitted():
-    (scheduler,) = create_schedulers(1, (entry(1),), plans=(LIMITED_PLAN,))
+    (scheduler,) = create_schedulers(1, (make_target(1),), plans=(LIMITED_PLAN,))
     scheduler.settings = settings(initiator_index=0, initiator_count=INITIATOR_COUNT, plans=(LIMITED_PLAN,))
     scheduler.handle(0.1, [request(1, units=8.0, volume_initiator_count=INITIATOR_COUNT)])
     assert (
--- a/tests/test_http_and_nvme.py
+++ b/tests/test_http_and_nvme.py
@@ -8,7 +8,14 @@
 import pytest
 
 from tests.helpers import plan
-from tests.stand_ins import BLOCK, DEADLINE, MAX_RETRY_AFTER, PER_UNIT, Target, World
+from tests.stand_ins import (
+    BLOCK_BYTES,
+    BLOCKS_PER_UNIT,
+    DEADLINE_SECONDS,
+    MAX_RETRY_AFTER_SECONDS,
+    InitiatorHarness,
+    Target,
+)
 
 
 @pytest.fixture(params=["http", "nvme"])
@@ -17,9 +24,9 @@
 
     def run_with_protocol(scenario, **changes):
         async def run_with_timeout():
-            async with World(request.param, **changes) as world:
-                await asyncio.wait_for(scenario(world), 20)
-                assert world.faults() == []
+            async with InitiatorHarness(request.param, **changes) as harness:
+                await asyncio.wait_for(scenario(harness), 20)
+                assert harness.faults() == []
 
         asyncio.run(run_with_timeout())
 
@@ -27,77 +34,77 @@
 
 
 def test_a_read_returns_the_targets_data(run_scenario):
-    async def scenario(world):
-        result = await world.read(tag=5)
-        assert (result.end, result.data[:BLOCK]) == ("served", Target.content(5, BLOCK))
-        assert world.targets[1].begun == []
+    async def scenario(harness):
+        result = await harness.read(tag=5)
+        assert (result.outcome, result.data[:BLOCK_BYTES]) == ("served", Target.stored_data(5, BLOCK_BYTES))
+        assert harness.targets[1].received == []
 
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("size", [BLOCK, 65536])
+@pytest.mark.parametrize("size", [BLOCK_BYTES, 65536])
 def test_a_write_reaches_its_target_once_and_complete(run_scenario, size):
-    async def scenario(world):
-        assert (await world.write(tag=6, shard=1, size=size)).end == "served"
-        assert world.targets[1].ran == [(6, Target.content(6, size))]
+    async def scenario(harness):
+        assert (await harness.write(tag=6, shard=1, size=size)).outcome == "served"
+        assert harness.targets[1].executed == [(6, Target.stored_data(6, size))]
 
     run_scenario(scenario)
 
 
 def test_every_request_gets_a_response_before_its_deadline(run_scenario):
-    async def scenario(world):
-        world.targets[0].mode = "silent"
+    async def scenario(harness):
+        harness.targets[0].mode = "no_response"
         results = await asyncio.gather(
-            *(world.read(tag) for tag in range(8)), *(world.write(tag) for tag in range(8, 16))
+            *(harness.read(tag) for tag in range(8)), *(harness.write(tag) for tag in range(8, 16))
         )
-        assert {result.end for result in results} <= {"refused", "failed"}
-        assert max(result.elapsed for result in results) < DEADLINE
+        assert {result.outcome for result in results} <= {"refused", "failed"}
+        assert max(result.elapsed for result in results) < DEADLINE_SECONDS
 
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("mode", ["silent", "break", "error"])
+@pytest.mark.parametrize("mode", ["no_response", "break", "error"])
 def test_a_possibly_executed_write_fails_and_is_never_retried(run_scenario, mode):
-    async def scenario(world):
-        world.targets[0].mode = mode
-        assert (await world.write(tag=3)).end == "failed"
-        await asyncio.sleep(DEADLINE)
-        assert [tag for tag, _ in world.targets[0].ran] == [3]
+    async def scenario(harness):
+        harness.targets[0].mode = mode
+        assert (await harness.write(tag=3)).outcome == "failed"
+        await asyncio.sleep(DEADLINE_SECONDS)
+        assert [tag for tag, _ in harness.targets[0].executed] == [3]
 
     run_scenario(scenario)
 
 
 def test_a_write_that_times_out_mid_transfer_is_never_retried(run_scenario):
-    async def scenario(world):
-        world.targets[0].mode = "stall"
-        assert (await world.write(tag=3, size=65536)).end == "failed"
-        await asyncio.sleep(DEADLINE)
-        assert [tag for _, tag in world.targets[0].begun] == [3] and world.targets[0].ran == []
+    async def scenario(harness):
+        harness.targets[0].mode = "stall"
+        assert (await harness.write(tag=3, size=65536)).outcome == "failed"
+        await asyncio.sleep(DEADLINE_SECONDS)
+        assert [tag for _, tag in harness.targets[0].received] == [3] and harness.targets[0].executed == []
 
     run_scenario(scenario)
 
 
 def test_a_write_rejected_before_execution_is_retried(run_scenario):
-    async def scenario(world):
-        target = world.targets[0]
-        target.mode = "turn_away"
-        request_task = asyncio.create_task(world.write(tag=4))
-        await world.until(lambda: target.begun)
+    async def scenario(harness):
+        target = harness.targets[0]
+        target.mode = "reject"
+        request_task = asyncio.create_task(harness.write(tag=4))
+        await harness.wait_until(lambda: target.received)
         target.mode = "serve"
-        assert (await request_task).end == "served"
-        assert [tag for tag, _ in target.ran] == [4]
+        assert (await request_task).outcome == "served"
+        assert [tag for tag, _ in target.executed] == [4]
 
     run_scenario(scenario)
 
 
 def test_a_failed_read_is_retried_but_never_concurrently(run_scenario):
-    async def scenario(world):
-        target = world.targets[0]
+    async def scenario(harness):
+        target = harness.targets[0]
         target.mode, target.delay = "error", 0.02
-        request_task = asyncio.create_task(world.read(tag=4))
-        await world.until(lambda: len(target.ran) >= 2)
+        request_task = asyncio.create_task(harness.read(tag=4))
+        await harness.wait_until(lambda: len(target.executed) >= 2)
         target.mode = "serve"
-        assert (await request_task).end == "served"
+        assert (await request_task).outcome == "served"
         assert target.max_in_flight == 1
 
     run_scenario(scenario)
@@ -105,21 +112,21 @@
 
 @pytest.mark.parametrize("write", [False, True])
 def test_a_request_that_its_target_rejects_is_rejected_with_retry_after(run_scenario, write):
-    async def scenario(world):
-        world.targets[0].mode = "turn_away"
-        result = await (world.write() if write else world.read())
-        assert result.end == "refused"
-        assert 0 < result.retry_after <= MAX_RETRY_AFTER
+    async def scenario(harness):
+        harness.targets[0].mode = "reject"
+        result = await (harness.write() if write else harness.read())
+        assert result.outcome == "refused"
+        assert 0 < result.retry_after <= MAX_RETRY_AFTER_SECONDS
 
     run_scenario(scenario)
 
 
 def test_a_write_to_an_unreachable_target_is_rejected(run_scenario):
-    async def scenario(world):
-        world.targets[0].close()
+    async def scenario(harness):
+        harness.targets[0].close()
         await asyncio.sleep(0)
-        result = await world.write()
-        assert result.end == "refused" and result.elapsed < DEADLINE
+        result = await harness.write()
+        assert result.outcome == "refused" and result.elapsed < DEADLINE_SECONDS
 
     run_scenario(scenario)
 
@@ -128,60 +135,64 @@
 def test_a_draining_or_removed_target_gets_no_new_requests_and_completes_those_in_flight(
     run_scenario, status
 ):
-    async def scenario(world):
-        target = world.targets[0]
+    async def scenario(harness):
+        target = harness.targets[0]
         target.delay = 0.1
-        request_task = asyncio.create_task(world.read(tag=1))
-        await world.until(lambda: target.begun)
-        world.discovery.set(target, status)
+        request_task = asyncio.create_task(harness.read(tag=1))
+        await harness.wait_until(lambda: target.received)
+        harness.discovery.set(target, status)
         notified_at = time.monotonic()
-        assert (await request_task).end == "served"
-        await world.until(lambda: len([line for line in world.logged if line["event"] == "list"]) > 1)
-        results = await asyncio.gather(*(world.read(tag) for tag in range(2, 8)))
-        assert {result.end for result in results} <= {"refused", "failed"}
-        assert all(at < notified_at + world.settings.rules.drain_grace for at, _ in target.begun)
-        world.discovery.set(target, "active")
-        await world.until(lambda: len([line for line in world.logged if line["event"] == "list"]) > 2)
-        assert (await world.read(tag=9)).end == "served"
+        assert (await request_task).outcome == "served"
+        await harness.wait_until(
+            lambda: len([line for line in harness.logged if line["event"] == "list"]) > 1
+        )
+        results = await asyncio.gather(*(harness.read(tag) for tag in range(2, 8)))
+        assert {result.outcome for result in results} <= {"refused", "failed"}
+        assert all(at < notified_at + harness.settings.rules.drain_grace for at, _ in target.received)
+        harness.discovery.set(target, "active")
+        await harness.wait_until(
+            lambda: len([line for line in harness.logged if line["event"] == "list"]) > 2
+        )
+        assert (await harness.read(tag=9)).outcome == "served"
 
     run_scenario(scenario)
 
 
 def test_the_write_of_a_disconnected_client_is_not_retried(run_scenario):
-    async def scenario(world):
-        target = world.targets[0]
-        target.mode = "silent"
-        request_task = asyncio.create_task(world.write(tag=2))
-        await world.until(lambda: target.begun)
+    async def scenario(harness):
+        target = harness.targets[0]
+        target.mode = "no_response"
+        request_task = asyncio.create_task(harness.write(tag=2))
+        await harness.wait_until(lambda: target.received)
         request_task.cancel()
-        await world.until(lambda: world.app.engine.open_request_count == 0)
+        await harness.wait_until(lambda: harness.app.engine.open_request_count == 0)
         target.mode = "serve"
-        assert (await world.read(tag=3)).end == "served"
-        assert [tag for _, tag in target.begun] == [2, 3]
-        assert world.app.engine.counts["gone"] == 1
+        assert (await harness.read(tag=3)).outcome == "served"
+        assert [tag for _, tag in target.received] == [2, 3]
+        assert harness.app.engine.counts["gone"] == 1
 
     run_scenario(scenario)
 
 
 def test_a_volume_does_not_exceed_its_rate_limit(run_scenario):
-    async def scenario(world):
+    async def scenario(harness):
         started_at = time.monotonic()
-        results = await asyncio.gather(*(world.read(tag) for tag in range(60)))
+        results = await asyncio.gather(*(harness.read(tag) for tag in range(60)))
         elapsed = time.monotonic() - started_at + 1.0  # margin for the time that the initiator ran before
-        assert len(world.targets[0].ran) <= 10.0 * elapsed
-        assert any(result.end == "refused" for result in results)
+        assert len(harness.targets[0].executed) <= 10.0 * elapsed
+        assert any(result.outcome == "refused" for result in results)
 
     run_scenario(scenario, plans=(plan(rate=5.0, limit=10.0, burst=20.0, slack=2.0),))
 
 
 def test_shutdown_completes_accepted_requests(run_scenario):
-    async def scenario(world):
-        world.targets[0].delay = 0.2
-        request_task = asyncio.create_task(world.read())
-        await world.until(lambda: world.targets[0].begun)
-        world.app.stop.set()
-        assert (await request_task).end == "served"
-        await asyncio.wait_for(asyncio.shield(world.running), 10)
+    async def scenario(harness):
+        harness.targets[0].delay = 0.2
+        request_task = asyncio.create_task(harness.read())
+        await harness.wait_until(lambda: harness.targets[0].received)
+        harness.app.stop.set()
+        assert (await request_task).outcome == "served"
+        await asyncio.wait_for(asyncio.shield(harness.running), 10)
 
     run_scenario(scenario)
 
@@ -189,23 +200,23 @@
 def test_shutdown_waits_for_the_latest_response(run_scenario):
     """Guards against a fixed shutdown timeout below the longest deadline, which would lose late responses."""
 
-    async def scenario(world):
-        world.targets[0].mode = "silent"
-        world.app.stop.set()
-        request_task = asyncio.create_task(world.read())
-        await world.until(lambda: world.targets[0].begun)
-        assert (await request_task).end in ("refused", "failed")
-        await asyncio.wait_for(asyncio.shield(world.running), 10)
-        assert world.app.engine.open_request_count == 0
+    async def scenario(harness):
+        harness.targets[0].mode = "no_response"
+        harness.app.stop.set()
+        request_task = asyncio.create_task(harness.read())
+        await harness.wait_until(lambda: harness.targets[0].received)
+        assert (await request_task).outcome in ("refused", "failed")
+        await asyncio.wait_for(asyncio.shield(harness.running), 10)
+        assert harness.app.engine.open_request_count == 0
 
     run_scenario(scenario)
 
 
 def test_units_are_derived_from_the_request_size(run_scenario):
-    async def scenario(world):
-        assert (await world.read(units=3)).end == "served"
-        (volume,) = world.app.engine._scheduler.volumes.values()
+    async def scenario(harness):
+        assert (await harness.read(units=3)).outcome == "served"
+        (volume,) = harness.app.engine._scheduler.volumes.values()
         assert volume.served.total == pytest.approx(3.0, rel=0.2)
-        assert PER_UNIT * BLOCK * 3 < 65536
+        assert BLOCKS_PER_UNIT * BLOCK_BYTES * 3 < 65536
 
     run_scenario(scenario)
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -31,7 +31,7 @@
 
 
 def serve_in_parts(
-    world, parts: list[bytes], may_finish: asyncio.Event, close_after_first: bool
+    harness, parts: list[bytes], may_finish: asyncio.Event, close_after_first: bool
 ) -> list[bool]:
     """Make the first target hold back the last part until `may_finish` is set.
 
@@ -51,7 +51,7 @@
             if close_after_first:
                 return
 
-    world.targets[0].serve = serve
+    harness.targets[0].serve = serve
     return written
 
 
@@ -64,9 +64,9 @@
 @pytest.mark.parametrize("minor", [0, 1])
 @pytest.mark.parametrize("framing", list(FRAMING_FIELDS))
 def test_a_long_response_is_streamed(framing, minor):
-    async def scenario(world, reader, writer):
+    async def scenario(harness, reader, writer):
         may_finish = asyncio.Event()
-        serve_in_parts(world, encode_response_parts(framing), may_finish, framing == "close")
+        serve_in_parts(harness, encode_response_parts(framing), may_finish, framing == "close")
         writer.write(GET_REQUEST.replace(b"HTTP/1.1", b"HTTP/1.%d" % minor))
         assert (await reader.readexactly(9)) == b"HTTP/1.1 "  # the target has not sent the second half yet
         may_finish.set()
@@ -79,20 +79,22 @@
             if not received and not message.is_complete:
                 assert message.finish()
         assert bytes(message.body) == LONG_BODY
-        engine = world.app.engine
-        await world.until(lambda: engine.counts["relayed"] == engine.counts["served"] == 1)
-        assert engine.open_request_count == 0 and world.app.target_client.response_budget.reserved_bytes == 0
+        engine = harness.app.engine
+        await harness.wait_until(lambda: engine.counts["relayed"] == engine.counts["served"] == 1)
+        assert (
+            engine.open_request_count == 0 and harness.app.target_client.response_budget.reserved_bytes == 0
+        )
 
     run_scenario(scenario)
 
 
 def test_both_connections_are_reused_after_a_long_response():
-    async def scenario(world, reader, writer):
-        pool = world.app.target_client.pool
+    async def scenario(harness, reader, writer):
+        pool = harness.app.target_client.pool
         pool._avoided_idle_range = 0.0, 0.0  # test_races.py covers the avoided range
         may_finish = asyncio.Event()
         may_finish.set()
-        serve_in_parts(world, encode_response_parts("chunks"), may_finish, False)
+        serve_in_parts(harness, encode_response_parts("chunks"), may_finish, False)
         for number in range(3):
             writer.write(GET_REQUEST.replace(b"id1", b"id%d" % number))
             assert bytes((await read_message(reader, response=True)).body) == LONG_BODY
@@ -103,7 +105,7 @@
 
 @pytest.mark.parametrize("framing", list(FRAMING_FIELDS))
 def test_the_client_sees_that_a_long_response_is_truncated(framing):
-    async def scenario(world, reader, writer):
+    async def scenario(harness, reader, writer):
         async def serve(stream, target_writer):
             await read_message(stream)
             target_writer.write(b"".join(encode_response_parts(framing)[:2]))
@@ -114,14 +116,14 @@
             target_writer.transport.abort()
 
         may_abort = asyncio.Event()
-        world.targets[0].serve = serve
+        harness.targets[0].serve = serve
         writer.write(GET_REQUEST)
         await reader.readuntil(b"\r\n\r\n")
         may_abort.set()
         with pytest.raises(ConnectionResetError):
             await read_to_end(reader)
-        assert world.app.engine.counts["broken_off"] == 1
-        assert len(world.targets[0].writers) <= 1  # the request was not retried
+        assert harness.app.engine.counts["broken_off"] == 1
+        assert len(harness.targets[0].writers) <= 1  # the request was not retried
 
     run_scenario(scenario)
 
@@ -129,12 +131,12 @@
 def test_a_long_response_that_stalls_is_aborted(monkeypatch):
     monkeypatch.setattr(http_target_client, "STREAM_STALL_TIMEOUT_SECONDS", 0.1)
 
-    async def scenario(world, reader, writer):
-        serve_in_parts(world, encode_response_parts("length"), asyncio.Event(), False)
+    async def scenario(harness, reader, writer):
+        serve_in_parts(harness, encode_response_parts("length"), asyncio.Event(), False)
         writer.write(GET_REQUEST)
         with pytest.raises(ConnectionResetError):
             await read_to_end(reader)
-        assert world.app.engine.counts["broken_off"] == 1
+        assert harness.app.engine.counts["broken_off"] == 1
 
     run_scenario(scenario)
 
@@ -142,17 +144,18 @@
 def test_a_client_that_does_not_read_pauses_the_target_and_is_disconnected(monkeypatch):
     monkeypatch.setattr(http_server, "UNREAD_TIMEOUT_SECONDS", 0.3)
 
-    async def scenario(world, reader, writer):
+    async def scenario(harness, reader, writer):
         may_finish = asyncio.Event()
         may_finish.set()
         body = bytes(24 << 20)
-        written = serve_in_parts(world, encode_response_parts("length", body), may_finish, False)
+        written = serve_in_parts(harness, encode_response_parts("length", body), may_finish, False)
         writer.transport.pause_reading()
         writer.write(GET_REQUEST)
-        await world.until(lambda: world.app.engine.counts["relayed"] == 1)
-        (client,) = world.app.listener._established
+        await harness.wait_until(lambda: harness.app.engine.counts["relayed"] == 1)
+        (client,) = harness.app.listener._established
         assert client.transport.get_write_buffer_size() < 100_000
-        await world.until(lambda: not world.targets[0].writers)  # the rest of the response is not needed
+        # The rest of the response is not needed.
+        await harness.wait_until(lambda: not harness.targets[0].writers)
         assert not written
 
     run_scenario(scenario)
@@ -161,11 +164,11 @@
 def test_a_slow_client_receives_all_of_a_long_response(monkeypatch):
     monkeypatch.setattr(http_server, "UNREAD_TIMEOUT_SECONDS", 0.2)
 
-    async def scenario(world, reader, writer):
+    async def scenario(harness, reader, writer):
         may_finish = asyncio.Event()
         may_finish.set()
         body = bytes(12 << 20)
-        serve_in_parts(world, encode_response_parts("length", body), may_finish, False)
+        serve_in_parts(harness, encode_response_parts("length", body), may_finish, False)
         writer.write(GET_REQUEST)
         received = len(await reader.readuntil(b"\r\n\r\n")) * 0
         while received < len(body):
@@ -179,7 +182,7 @@
 # --- Requests ---------------------------------------------------------------------------------------
 @pytest.mark.parametrize("chunked", [False, True])
 def test_a_long_request_body_reaches_its_target_unchanged(chunked):
-    async def scenario(world, reader, writer):
+    async def scenario(harness, reader, writer):
         encoded_request = http.encode_request("PUT", "/write/9", VALID_FIELDS, LONG_BODY)
         if chunked:
             encoded_request = (
@@ -190,8 +193,8 @@
             )
         writer.write(encoded_request)
         assert (await read_message(reader, response=True)).head.status == 200
-        assert world.targets[0].ran == [(9, LONG_BODY)]
-        assert world.app.server.request_body_budget.reserved_bytes == 0
+        assert harness.targets[0].executed == [(9, LONG_BODY)]
+        assert harness.app.server.request_body_budget.reserved_bytes == 0
 
     run_scenario(scenario)
 
@@ -201,7 +204,7 @@
     monkeypatch.setattr(request_timer, "MIN_BODY_RATE_BYTES_PER_SECOND", 20_000)
     monkeypatch.setattr("stalltiller.transport.listener.FIRST_REQUEST_TIMEOUT_SECONDS", 0.2)
 
-    async def scenario(world, reader, writer):
+    async def scenario(harness, reader, writer):
         encoded_request = http.encode_request("PUT", "/write/9", VALID_FIELDS, bytes(80_000))
         for offset in range(0, len(encoded_request), 8000):  # takes 0.5 s in total
             writer.write(encoded_request[offset : offset + 8000])
@@ -216,30 +219,30 @@
 
 
 def test_request_bodies_are_limited_by_a_memory_budget_and_released():
-    async def scenario(world, reader, writer):
-        world.app.server.request_body_budget._max_bytes = 300_000
+    async def scenario(harness, reader, writer):
+        harness.app.server.request_body_budget._max_bytes = 300_000
         encoded_request = http.encode_request("PUT", "/write/9", VALID_FIELDS, LONG_BODY)
         writer.write(encoded_request)
         assert (await read_message(reader, response=True)).head.status == 503
-        await world.until(lambda: world.app.server.request_body_budget.reserved_bytes == 0)
-        assert world.app.engine.counts["taken"] == 0
+        await harness.wait_until(lambda: harness.app.server.request_body_budget.reserved_bytes == 0)
+        assert harness.app.engine.counts["taken"] == 0
 
     run_scenario(scenario)
 
 
 def test_the_memory_of_a_long_body_is_released_when_its_request_is_rejected():
-    async def scenario(world, reader, writer):
+    async def scenario(harness, reader, writer):
         encoded_request = http.encode_request("PUT", "/write/9", VALID_FIELDS, LONG_BODY)
         for status in (200, 409):  # the second request reuses the request ID
             writer.write(encoded_request)
             assert (await read_message(reader, response=True)).head.status == status
-            assert world.app.server.request_body_budget.reserved_bytes == 0
+            assert harness.app.server.request_body_budget.reserved_bytes == 0
 
     run_scenario(scenario)
 
 
 def test_an_invalid_field_is_reported_before_a_long_body_has_arrived():
-    async def scenario(world, reader, writer):
+    async def scenario(harness, reader, writer):
         encoded_request = http.encode_request("PUT", "/write/9", {**VALID_FIELDS, "Tier": "tin"}, LONG_BODY)
         writer.write(encoded_request[:1000])
         assert (await read_message(reader, response=True)).head.status == 400
@@ -248,17 +251,17 @@
 
 
 def test_a_write_whose_long_body_was_not_fully_sent_may_be_retried():
-    async def scenario(world, reader, writer):
+    async def scenario(harness, reader, writer):
         async def serve(stream, target_writer):
             await stream.readuntil(b"\r\n\r\n")
-            world.targets[0].serve = serve_normally
+            harness.targets[0].serve = serve_normally
             target_writer.transport.abort()  # resets the connection, since bytes are unread
 
-        serve_normally = world.targets[0].serve
-        world.targets[0].serve = serve
+        serve_normally = harness.targets[0].serve
+        harness.targets[0].serve = serve
         writer.write(http.encode_request("PUT", "/write/9", VALID_FIELDS, bytes(12 << 20)))
         assert (await read_message(reader, response=True)).head.status == 200
-        assert [tag for tag, _ in world.targets[0].ran] == [9]
+        assert [tag for tag, _ in harness.targets[0].executed] == [9]
 
     run_scenario(scenario)
 
@@ -267,7 +270,7 @@
 def test_the_first_bytes_of_a_slow_response_are_streamed_early(head):
     """Streaming starts only once a response makes progress, so that one that stalls can be retried."""
 
-    async def scenario(world, reader, writer):
+    async def scenario(harness, reader, writer):
         async def serve(stream, target_writer):
             await read_message(stream)
             target_writer.write(b"HTTP/1.1 200 OK\r\n" + head)
@@ -276,9 +279,9 @@
                 await asyncio.sleep(0.03)
             await asyncio.sleep(30)
 
-        world.targets[0].serve = serve
+        harness.targets[0].serve = serve
         writer.write(GET_REQUEST)
         assert b"200" in await asyncio.wait_for(reader.readuntil(b"\r\n"), 5)
-        assert world.app.engine.counts["relayed"] == 1
+        assert harness.app.engine.counts["relayed"] == 1
 
     run_scenario(scenario)
--- a/tests/test_nvme_controller.py
+++ b/tests/test_nvme_controller.py
@@ -9,29 +9,29 @@
 import pytest
 
 from stalltiller.protocol import nvme
-from tests.stand_ins import BLOCK, Pdus, World
+from tests.stand_ins import BLOCK_BYTES, InitiatorHarness, PduStream
 
 
 def run_scenario(scenario, **changes):
     async def run():
-        async with World("nvme", **changes) as world:
-            await asyncio.wait_for(scenario(world, world.client), 20)
-            assert world.faults() == []
+        async with InitiatorHarness("nvme", **changes) as harness:
+            await asyncio.wait_for(scenario(harness, harness.client), 20)
+            assert harness.faults() == []
 
     asyncio.run(run())
 
 
 def read(cid: int, lba: int = 1, nsid: int = 1, blocks: int = 1) -> bytes:
-    return nvme.io_command(nvme.READ, cid, nsid, lba, blocks, blocks * BLOCK)
+    return nvme.io_command(nvme.READ, cid, nsid, lba, blocks, blocks * BLOCK_BYTES)
 
 
-async def next_completion(stream: Pdus) -> nvme.Completion:
+async def next_completion(stream: PduStream) -> nvme.Completion:
     while (pdu := await stream.next()).kind != nvme.RESPONSE_CAPSULE:
         pass
     return nvme.parse_completion(pdu)
 
 
-async def read_termination(stream: Pdus) -> int:
+async def read_termination(stream: PduStream) -> int:
     """Read up to the TermReq and the end of the connection; return the fatal error status."""
     while (pdu := await stream.next()).kind != nvme.C2H_TERM:
         pass
@@ -51,17 +51,17 @@
     ids=["unknown_type", "second_icreq", "unrequested_data", "duplicate_command_id", "queue_overflow"],
 )
 def test_a_malformed_pdu_closes_only_its_own_association(raw, status):
-    async def scenario(world, client):
-        world.targets[0].mode = "silent"
+    async def scenario(harness, client):
+        harness.targets[0].mode = "no_response"
         _, other = await client.associate()
         admin, io = await client.associate()
         io.writer.write(raw)
         assert await read_termination(io) == status
         assert await admin.reader.read() == b""
-        world.targets[0].mode = "serve"
+        harness.targets[0].mode = "serve"
         other.writer.write(read(1, nsid=2))
         assert (await next_completion(other)).status == nvme.OK
-        await world.until(lambda: world.app.engine.open_request_count == 0)
+        await harness.wait_until(lambda: harness.app.engine.open_request_count == 0)
 
     run_scenario(scenario)
 
@@ -69,7 +69,7 @@
 def test_a_connection_that_sends_no_connect_command_is_closed_after_the_timeout(monkeypatch):
     monkeypatch.setattr("stalltiller.transport.listener.FIRST_REQUEST_TIMEOUT_SECONDS", 0.1)
 
-    async def scenario(world, client):
+    async def scenario(harness, client):
         reader, writer = await asyncio.open_connection("127.0.0.1", client.port)
         _, io = await client.associate()
         assert await reader.read() == b""
@@ -81,10 +81,10 @@
 
 
 def test_the_first_pdu_must_be_icreq():
-    async def scenario(world, client):
+    async def scenario(harness, client):
         reader, writer = await asyncio.open_connection("127.0.0.1", client.port)
         writer.write(read(1))
-        assert await read_termination(Pdus(reader, writer, nvme.FROM_CONTROLLER)) == nvme.BAD_SEQUENCE
+        assert await read_termination(PduStream(reader, writer, nvme.FROM_CONTROLLER)) == nvme.BAD_SEQUENCE
 
     run_scenario(scenario)
 
@@ -99,18 +99,18 @@
     ],
 )
 def test_an_invalid_command_is_completed_with_do_not_retry(raw, status):
-    async def scenario(world, client):
+    async def scenario(harness, client):
         _, io = await client.associate()
         io.writer.write(raw)
         completion = await next_completion(io)
         assert (completion.cid, completion.status, completion.no_retry) == (1, status, True)
-        assert world.app.engine.counts["taken"] == 0
+        assert harness.app.engine.counts["taken"] == 0
 
     run_scenario(scenario)
 
 
 def test_admin_commands_return_their_status_result_and_data():
-    async def scenario(world, client):
+    async def scenario(harness, client):
         admin, _ = await client.associate()
         for raw, expected in [
             (nvme.property_get(5, nvme.CSTS), (nvme.OK, nvme.CSTS_READY)),
@@ -125,7 +125,7 @@
             assert (completion.status, completion.result) == expected
         admin.writer.write(nvme.command(nvme.IDENTIFY, 6, 1, bytes([nvme.CNS_NAMESPACE]), 4096))
         page = (await admin.next()).data
-        assert struct.unpack_from("<Q", page)[0] == 1 << 40 and 1 << page[130] == BLOCK
+        assert struct.unpack_from("<Q", page)[0] == 1 << 40 and 1 << page[130] == BLOCK_BYTES
         admin.writer.write(nvme.command(nvme.IDENTIFY, 7, 0, bytes([nvme.CNS_ACTIVE_NAMESPACES]), 4096))
         await next_completion(admin)
         assert struct.unpack_from("<3I", (await admin.next()).data) == (1, 2, 0)
@@ -134,16 +134,16 @@
 
 
 def test_abort_counts_as_a_client_disconnect():
-    async def scenario(world, client):
-        world.targets[0].mode = "silent"
+    async def scenario(harness, client):
+        harness.targets[0].mode = "no_response"
         admin, io = await client.associate()
         io.writer.write(read(4))
-        await world.until(lambda: world.targets[0].begun)
+        await harness.wait_until(lambda: harness.targets[0].received)
         admin.writer.write(nvme.command(nvme.ABORT, 5, command_dwords=struct.pack("<HH", 1, 4)))
         assert (await next_completion(admin)).result == 0
         assert (await next_completion(io)).status == nvme.ABORTED
-        assert world.app.engine.counts["gone"] == 1
-        world.targets[0].mode = "serve"
+        assert harness.app.engine.counts["gone"] == 1
+        harness.targets[0].mode = "serve"
         io.writer.write(read(4))
         assert (await next_completion(io)).status == nvme.OK
 
@@ -151,19 +151,19 @@
 
 
 def test_disabling_the_controller_closes_its_io_queues_and_it_can_be_reenabled():
-    async def scenario(world, client):
-        world.targets[0].mode = "silent"
+    async def scenario(harness, client):
+        harness.targets[0].mode = "no_response"
         admin, io = await client.associate()
         io.writer.write(read(4))
-        await world.until(lambda: world.targets[0].begun)
+        await harness.wait_until(lambda: harness.targets[0].received)
         admin.writer.write(nvme.property_set(5, nvme.CC, 0))
         assert (await next_completion(admin)).status == nvme.OK
-        assert await io.reader.read() == b"" and world.app.engine.open_request_count == 0
+        assert await io.reader.read() == b"" and harness.app.engine.open_request_count == 0
         admin.writer.write(nvme.property_set(5, nvme.CC, nvme.CC_ENABLE))
         assert (await next_completion(admin)).status == nvme.OK
-        (controller_id,) = world.app.server.associations
+        (controller_id,) = harness.app.server.associations
         io, _ = await client.queue(1, controller_id)
-        world.targets[0].mode = "serve"
+        harness.targets[0].mode = "serve"
         io.writer.write(read(5))
         assert (await next_completion(io)).status == nvme.OK
 
@@ -171,42 +171,43 @@
 
 
 def test_data_that_arrives_after_an_abort_is_ignored():
-    async def scenario(world, client):
+    async def scenario(harness, client):
         admin, io = await client.associate()
-        io.writer.write(nvme.io_command(nvme.WRITE, 4, 1, 8, 32, 32 * BLOCK))
+        io.writer.write(nvme.io_command(nvme.WRITE, 4, 1, 8, 32, 32 * BLOCK_BYTES))
         assert (await io.next()).kind == nvme.R2T
         admin.writer.write(nvme.command(nvme.ABORT, 5, command_dwords=struct.pack("<HH", 1, 4)))
         completion = await next_completion(io)
         assert (completion.status, completion.no_retry) == (nvme.ABORTED, True)
-        io.writer.write(nvme.data_pdu(nvme.H2C_DATA, 4, 4, 0, bytes(32 * BLOCK)))
+        io.writer.write(nvme.data_pdu(nvme.H2C_DATA, 4, 4, 0, bytes(32 * BLOCK_BYTES)))
         io.writer.write(read(5))
         assert (await next_completion(io)).cid == 5
-        assert [tag for _, tag in world.targets[0].begun] == [1]
+        assert [tag for _, tag in harness.targets[0].received] == [1]
 
     run_scenario(scenario)
 
 
 def test_losing_a_queue_closes_the_association_and_cancels_its_commands():
-    async def scenario(world, client):
-        world.targets[0].mode = "silent"
+    async def scenario(harness, client):
+        harness.targets[0].mode = "no_response"
         admin, io = await client.associate()
         io.writer.write(read(4) + read(5))
-        await world.until(lambda: len(world.targets[0].begun) == 2)
+        await harness.wait_until(lambda: len(harness.targets[0].received) == 2)
         admin.writer.transport.abort()
         assert await io.reader.read() == b""
-        await world.until(lambda: world.app.engine.open_request_count == 0)
+        await harness.wait_until(lambda: harness.app.engine.open_request_count == 0)
         assert (
-            world.app.engine.counts["gone"] == 2 and world.app.server.command_data_budget.reserved_bytes == 0
+            harness.app.engine.counts["gone"] == 2
+            and harness.app.server.command_data_budget.reserved_bytes == 0
         )
 
     run_scenario(scenario)
 
 
 def test_a_host_that_exceeds_its_keep_alive_timeout_is_disconnected():
-    async def scenario(world, client):
+    async def scenario(harness, client):
         admin, _ = await client.queue(0, nvme.DYNAMIC_CONTROLLER_ID, keep_alive=0.05)
         assert await admin.reader.read() == b""
-        assert world.app.server.associations == {}
+        assert harness.app.server.associations == {}
 
     run_scenario(scenario)
 
@@ -215,61 +216,61 @@
     "malformed_pdu", [b"\x77" + bytes(7), nvme.data_pdu(nvme.C2H_DATA, 77, 0, 0, b"data")]
 )
 def test_a_malformed_target_response_is_logged_and_the_write_fails(malformed_pdu):
-    async def scenario(world, client):
-        async def act(tag, data):
-            for writer in list(world.targets[0].writers):
+    async def scenario(harness, client):
+        async def execute(tag, data):
+            for writer in list(harness.targets[0].writers):
                 writer.write(malformed_pdu)
-            return "silent"
+            return "no_response"
 
-        world.targets[0].act = act
-        assert (await world.write()).end == "failed"
-        assert any(line["event"] == "bad_response" for line in world.logged)
-        assert world.app.engine.counts["attempts"] == 1
+        harness.targets[0].execute = execute
+        assert (await harness.write()).outcome == "failed"
+        assert any(line["event"] == "bad_response" for line in harness.logged)
+        assert harness.app.engine.counts["attempts"] == 1
 
     run_scenario(scenario)
 
 
 def test_a_target_without_in_capsule_data_requests_it_by_r2t():
-    async def scenario(world, client):
-        world.targets[0].capsule = 0
-        assert (await world.write(tag=3)).end == "served"
-        assert [tag for tag, _ in world.targets[0].ran] == [3]
+    async def scenario(harness, client):
+        harness.targets[0].capsule = 0
+        assert (await harness.write(tag=3)).outcome == "served"
+        assert [tag for tag, _ in harness.targets[0].executed] == [3]
 
     run_scenario(scenario)
 
 
 def test_a_stalled_read_response_is_aborted_and_the_read_retried():
-    async def scenario(world, client):
-        target, original_command = world.targets[0], world.targets[0].command
+    async def scenario(harness, client):
+        target, original_command = harness.targets[0], harness.targets[0].command
 
         async def stall_mid_response(stream, request, data):
             if request.opcode != nvme.READ:
                 return await original_command(stream, request, data)
-            stream.writer.write(nvme.data_pdu(nvme.C2H_DATA, request.cid, 0, 0, bytes(BLOCK)))
+            stream.writer.write(nvme.data_pdu(nvme.C2H_DATA, request.cid, 0, 0, bytes(BLOCK_BYTES)))
             target.command = original_command
             await asyncio.sleep(10)
             return None
 
         target.command = stall_mid_response
-        result = await world.read()
-        assert result.end == "served"
-        assert world.app.engine.counts["attempt_error"] == 1
+        result = await harness.read()
+        assert result.outcome == "served"
+        assert harness.app.engine.counts["attempt_error"] == 1
 
     run_scenario(scenario)
 
 
 def test_a_host_that_exceeds_the_unread_response_budget_is_disconnected():
-    async def scenario(world, client):
+    async def scenario(harness, client):
         admin, io = await client.associate()
-        world.app.server.unread_response_budget._max_bytes = 50_000
-        (association,) = world.app.server.associations.values()
+        harness.app.server.unread_response_budget._max_bytes = 50_000
+        (association,) = harness.app.server.associations.values()
         transport = association.queues[1].transport
         for endpoint, option in ((transport, socket.SO_SNDBUF), (io.writer, socket.SO_RCVBUF)):
             endpoint.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, option, 4096)
         io.writer.transport.pause_reading()
         for cid in range(1, 16):
             io.writer.write(read(cid, blocks=128))
-        await world.until(lambda: world.app.server.associations == {})
-        assert world.app.server.unread_response_budget.reserved_bytes == 0
+        await harness.wait_until(lambda: harness.app.server.associations == {})
+        assert harness.app.server.unread_response_budget.reserved_bytes == 0
 
     run_scenario(scenario)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -13,9 +13,9 @@
 import pytest
 
 from stalltiller.daemon.process_handover import ProcessHandover
-from tests.helpers import SchedulerHarness, outcome, plan, request
-from tests.stand_ins import World
-from tests.test_program import EXAMPLE, start
+from tests.helpers import SchedulerHarness, attempt_finished, plan, request
+from tests.stand_ins import InitiatorHarness
+from tests.test_program import EXAMPLE_CONFIG, start_program
 
 
 async def send_admin_call(address, method_and_path: str, body: str = "") -> int:
@@ -29,10 +29,10 @@
     return int(response.split(b" ")[1])
 
 
-class AdminWorld(World):
+class AdminHarness(InitiatorHarness):
     folder = None
 
-    def changed(self, config):
+    def adjust_config(self, config):
         return replace(config, admin=("127.0.0.1", 0), handover_folder=self.folder)
 
     async def call(self, method_and_path: str, body: str = "") -> int:
@@ -41,11 +41,11 @@
 
 def run_scenario(scenario, kind: str = "http", folder=None) -> None:
     async def run():
-        world = AdminWorld(kind)
-        world.folder = folder
-        async with world:
-            await asyncio.wait_for(scenario(world), 20)
-            assert world.faults() == []
+        harness = AdminHarness(kind)
+        harness.folder = folder
+        async with harness:
+            await asyncio.wait_for(scenario(harness), 20)
+            assert harness.faults() == []
 
     asyncio.run(run())
 
@@ -67,17 +67,17 @@
     ],
 )
 def test_an_admin_call_returns_the_expected_status(method_and_path, body, status):
-    async def scenario(world):
-        assert await world.call(method_and_path, body) == status
+    async def scenario(harness):
+        assert await harness.call(method_and_path, body) == status
 
     run_scenario(scenario)
 
 
 def test_idle_connections_do_not_delay_admin_calls():
-    async def scenario(world):
-        idle_connections = [await asyncio.open_connection(*world.app.admin.address) for _ in range(20)]
+    async def scenario(harness):
+        idle_connections = [await asyncio.open_connection(*harness.app.admin.address) for _ in range(20)]
         started_at = time.monotonic()
-        assert await world.call("GET /_ready") == 200
+        assert await harness.call("GET /_ready") == 200
         assert time.monotonic() - started_at < 1.0
         for _, writer in idle_connections:
             writer.close()
@@ -87,31 +87,33 @@
 
 @pytest.mark.parametrize("kind", ["http", "nvme"])
 def test_a_detached_target_gets_no_requests_until_it_is_attached(kind):
-    async def scenario(world):
-        target, logged_before = world.targets[0], len(world.logged)
+    async def scenario(harness):
+        target, logged_before = harness.targets[0], len(harness.logged)
         for _ in range(2):
-            assert await world.call("PUT /_targets/detach", "s-0") == 200
-        world.discovery.set(target)  # a list from discovery does not attach the target
-        await world.until(lambda: any(line["event"] == "list" for line in world.logged[logged_before:]))
-        assert (await world.read(tag=1)).end == "refused" and target.begun == []
-        assert await world.call("PUT /_targets/attach", "s-0") == 200  # one call reverts both detach calls
-        assert (await world.read(tag=2)).end == "served"
-        target_state = world.app.engine._scheduler.targets["s-0"]
+            assert await harness.call("PUT /_targets/detach", "s-0") == 200
+        harness.discovery.set(target)  # a list from discovery does not attach the target
+        await harness.wait_until(
+            lambda: any(line["event"] == "list" for line in harness.logged[logged_before:])
+        )
+        assert (await harness.read(tag=1)).outcome == "refused" and target.received == []
+        assert await harness.call("PUT /_targets/attach", "s-0") == 200  # one call reverts both detach calls
+        assert (await harness.read(tag=2)).outcome == "served"
+        target_state = harness.app.engine._scheduler.targets["s-0"]
         assert target_state.target.started_at == pytest.approx(
-            world.app.engine.to_scheduler_time(time.time()), abs=5
+            harness.app.engine.to_scheduler_time(time.time()), abs=5
         )  # in slow start
 
     run_scenario(scenario, kind)
 
 
 def test_processes_of_one_initiator_apply_each_others_detached_targets(tmp_path):
-    async def scenario(world):
+    async def scenario(harness):
         other_process = ProcessHandover(str(tmp_path), "n0")
         other_process.save({"s-0": time.time()})
-        target_state = world.app.engine._scheduler.targets["s-0"]
+        target_state = harness.app.engine._scheduler.targets["s-0"]
         assert target_state.target.status.value == "ready"
-        await world.until(lambda: target_state.target.status.value == "draining")
-        assert await world.call("PUT /_targets/attach", "s-0") == 200
+        await harness.wait_until(lambda: target_state.target.status.value == "draining")
+        assert await harness.call("PUT /_targets/attach", "s-0") == 200
         assert other_process.has_changed() and other_process.load() == {}
 
     run_scenario(scenario, folder=str(tmp_path))
@@ -125,7 +127,7 @@
 
 def test_the_next_process_waits_for_the_lock_and_takes_over_socket_and_detached_targets(tmp_path):
     def start_until(event_name: str):
-        program = start(
+        program = start_program(
             PROXY_CONFIG=str(path),
             PROXY_LISTEN=address,
             PROXY_INHERITED_FD=str(descriptor),
@@ -149,7 +151,7 @@
     path = tmp_path / "config.json"
     target_record = {"name": "s-1", "address": "127.0.0.1:9", "group": 0, "status": "active"}
     path.write_text(
-        json.dumps({**EXAMPLE, "known": {"index": 1, "snapshot": True, "endpoints": [target_record]}})
+        json.dumps({**EXAMPLE_CONFIG, "known": {"index": 1, "snapshot": True, "endpoints": [target_record]}})
     )
     with socket.create_server(("127.0.0.1", 0)) as listening:
         address, descriptor = f"127.0.0.1:{listening.getsockname()[1]}", listening.fileno()
@@ -162,13 +164,15 @@
         old.send_signal(signal.SIGTERM)
         assert next(event for event in events if event["event"] == "started")["listen"] == address
         assert is_healthy()
-        assert json.loads((tmp_path / f"stalltiller-{EXAMPLE['name']}.out").read_text()).keys() == {"s-1"}
+        assert json.loads((tmp_path / f"stalltiller-{EXAMPLE_CONFIG['name']}.out").read_text()).keys() == {
+            "s-1"
+        }
         assert asyncio.run(send_admin_call(new_admin, "PUT /_targets/attach", "s-1")) == 200
         for program in (old, new):
             program.send_signal(signal.SIGTERM)
             program.communicate(timeout=20)
             assert program.returncode == 0
-    assert os.path.exists(tmp_path / f"stalltiller-{EXAMPLE['name']}.lock")
+    assert os.path.exists(tmp_path / f"stalltiller-{EXAMPLE_CONFIG['name']}.lock")
 
 
 LIMITED_SETTINGS = {"plans": (plan(rate=5.0, limit=10.0, burst=20.0, slack=2.0),)}
@@ -178,14 +182,14 @@
     """The new process starts without tokens; the old one uses up its tokens and gets no new ones."""
     new = SchedulerHarness(**LIMITED_SETTINGS)
     new.scheduler.activate(5.0)
-    assert new.sends(5.0, request(1)) == []
+    assert new.started_request_ids(5.0, request(1)) == []
     old = SchedulerHarness(**LIMITED_SETTINGS)
-    assert old.sends(1.0, request(1)) == [1]  # 10 tokens have accrued
+    assert old.started_request_ids(1.0, request(1)) == [1]  # 10 tokens have accrued
     old.scheduler.deactivate()
     spent = 2.0
     for number in range(2, 20):
         now = 1.0 + number / 10
-        for request_id in old.sends(now, request(number)):
+        for request_id in old.started_request_ids(now, request(number)):
             spent += 2.0
-            old.feed(now, outcome(request_id))
+            old.handle(now, attempt_finished(request_id))
     assert spent == 10.0
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -377,7 +377,7 @@
 
 
 # --- Metrics --------------------------------------------------------------------------------------
-def collectd_decoded(packet: bytes) -> tuple[dict, dict[str, float]]:
+def decode_collectd_packet(packet: bytes) -> tuple[dict, dict[str, float]]:
     """Decode a packet part by part, as collectd does; return its parts by type and its values by metric."""
     offset = 0
     parts, values = {}, {}
@@ -399,7 +399,7 @@
     packets = metrics.collectd_packets("n1", sample, frozenset(("figure_7",)), 1000.9, 10.0)
     assert len(packets) > 1 and max(map(len, packets)) <= metrics.MAX_PACKET_BYTES
     decoded_values = {}
-    for parts, values in map(collectd_decoded, packets):
+    for parts, values in map(decode_collectd_packet, packets):
         assert (parts[0], parts[2], parts[3], parts[1], parts[7]) == (b"n1", b"stalltiller", b"n1", 1000, 10)
         decoded_values |= values
     assert decoded_values == {
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -18,14 +18,14 @@
 
 from stalltiller.daemon import config
 from stalltiller.daemon.operator_config import read_operator_config
-from tests.stand_ins import World
-from tests.test_parsers import collectd_decoded
+from tests.stand_ins import InitiatorHarness
+from tests.test_parsers import decode_collectd_packet
 
 ROOT = Path(__file__).parent.parent
-EXAMPLE = json.loads((ROOT / "examples" / "config.json").read_text())
+EXAMPLE_CONFIG = json.loads((ROOT / "examples" / "config.json").read_text())
 
 
-def start(*arguments: str, preexec_fn=None, pass_fds=(), **environment: str) -> subprocess.Popen:
+def start_program(*arguments: str, preexec_fn=None, pass_fds=(), **environment: str) -> subprocess.Popen:
     return subprocess.Popen(
         [sys.executable, "-m", "stalltiller", *arguments],
         cwd=ROOT,
@@ -53,8 +53,8 @@
 )
 def test_an_invalid_configuration_prints_one_line_and_exits_with_2(change, tmp_path):
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({**EXAMPLE, **change}))
-    program = start(PROXY_CONFIG=str(path))
+    path.write_text(json.dumps({**EXAMPLE_CONFIG, **change}))
+    program = start_program(PROXY_CONFIG=str(path))
     out, err = program.communicate(timeout=20)
     assert (program.returncode, out, err.count("\n")) == (2, "", 1) and err.startswith("stalltiller: ")
 
@@ -64,13 +64,13 @@
     path = tmp_path / "config"
     if text is not None:
         path.write_text(text)
-    for program in (start(PROXY_CONFIG=str(path)), start(str(path))):
+    for program in (start_program(PROXY_CONFIG=str(path)), start_program(str(path))):
         _, err = program.communicate(timeout=20)
         assert (program.returncode, err.count("\n")) == (2, 1)
 
 
 def test_settings_are_read_with_their_units_and_unknown_keys_are_ignored():
-    nested = {**EXAMPLE["settings"], "no-such-key": {"a": [1, {"b": None}]}}
+    nested = {**EXAMPLE_CONFIG["settings"], "no-such-key": {"a": [1, {"b": None}]}}
     settings = config.parse_settings(nested)
     assert [cls.name for cls in settings.classes] == ["order-read", "order-write", "report-export"]
     assert (settings.classes[0].latency_objective, settings.classes[1].is_write) == (0.2, True)
@@ -120,9 +120,11 @@
     if uses_operator_file:
         path = tmp_path / "operator.toml"
         path.write_text(OPERATOR_TOML.replace(":4420", ":0"))
-        program = start(str(path))
+        program = start_program(str(path))
     else:
-        program = start(PROXY_CONFIG=str(ROOT / "examples" / "config.json"), PROXY_LISTEN="127.0.0.1:0")
+        program = start_program(
+            PROXY_CONFIG=str(ROOT / "examples" / "config.json"), PROXY_LISTEN="127.0.0.1:0"
+        )
     lines = []
     for line in program.stdout:
         lines.append(json.loads(line))
@@ -132,7 +134,7 @@
     out, err = program.communicate(timeout=20)
     lines += [json.loads(line) for line in out.splitlines()]
     assert (program.returncode, err, lines[-1]["event"]) == (0, "", "stopped")
-    assert {line["name"] for line in lines} == {EXAMPLE["name"]}
+    assert {line["name"] for line in lines} == {EXAMPLE_CONFIG["name"]}
 
 
 def test_sighup_moves_the_discovery_watch_and_an_unreadable_file_changes_nothing(tmp_path):
@@ -152,13 +154,15 @@
         old.settimeout(20)
         new.settimeout(20)
         addresses = [f"127.0.0.1:{server.getsockname()[1]}" for server in (old, new)]
-        write(json.dumps({**EXAMPLE, "discovery": addresses[0]}))
-        program = start(PROXY_CONFIG=str(path), PROXY_LISTEN="127.0.0.1:0", PROXY_DISCOVERY=addresses[0])
+        write(json.dumps({**EXAMPLE_CONFIG, "discovery": addresses[0]}))
+        program = start_program(
+            PROXY_CONFIG=str(path), PROXY_LISTEN="127.0.0.1:0", PROXY_DISCOVERY=addresses[0]
+        )
         events = (json.loads(line) for line in program.stdout)
         assert receive_poll(old).startswith(b"GET /v1/servers HTTP/1.1")
         for text, expected_event in (
             ("{", "reload_failed"),
-            (json.dumps({**EXAMPLE, "discovery": addresses[1]}), "reloaded"),
+            (json.dumps({**EXAMPLE_CONFIG, "discovery": addresses[1]}), "reloaded"),
         ):
             write(text)
             program.send_signal(signal.SIGHUP)
@@ -174,7 +178,7 @@
     """The address is already bound, so binding it a second time would fail."""
     with socket.create_server(("127.0.0.1", 0)) as listening:
         address, descriptor = listening.getsockname(), listening.fileno()
-        program = start(
+        program = start_program(
             PROXY_CONFIG=str(ROOT / "examples" / "config.json"),
             pass_fds=(descriptor,),
             PROXY_LISTEN=f"127.0.0.1:{address[1]}",
@@ -190,7 +194,7 @@
 
 @pytest.mark.parametrize("descriptor", ["three", "2", "99999"])
 def test_an_invalid_inherited_descriptor_prints_one_line_and_exits_with_2(descriptor):
-    program = start(
+    program = start_program(
         PROXY_CONFIG=str(ROOT / "examples" / "config.json"),
         PROXY_LISTEN="127.0.0.1:0",
         PROXY_INHERITED_FD=descriptor,
@@ -200,7 +204,7 @@
 
 
 def test_the_program_serves_again_after_running_out_of_descriptors():
-    program = start(
+    program = start_program(
         PROXY_CONFIG=str(ROOT / "examples" / "config.json"),
         PROXY_LISTEN="127.0.0.1:0",
         preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (20, 20)),
@@ -231,8 +235,8 @@
         self.received.append(data)
 
 
-class MetricsWorld(World):
-    def changed(self, configured):
+class MetricsHarness(InitiatorHarness):
+    def adjust_config(self, configured):
         return replace(
             configured, graphite=config.Sink(self.graphite, 0.05), collectd=config.Sink(self.collectd, 0.05)
         )
@@ -251,16 +255,19 @@
         transport, sink = await asyncio.get_running_loop().create_datagram_endpoint(
             DatagramSink, local_addr=("127.0.0.1", 0)
         )
-        world = MetricsWorld("http")
-        world.graphite, world.collectd = server.sockets[0].getsockname(), transport.get_extra_info("sockname")
-        async with world:
-            assert (await world.read()).end == "served"
+        harness = MetricsHarness("http")
+        harness.graphite, harness.collectd = (
+            server.sockets[0].getsockname(),
+            transport.get_extra_info("sockname"),
+        )
+        async with harness:
+            assert (await harness.read()).outcome == "served"
             lines_before = len(lines)
-            await world.until(lambda: any(b".served 1 " in line for line in lines[lines_before:]))
-            await world.until(lambda: any(b"served" in data for data in sink.received))
+            await harness.wait_until(lambda: any(b".served 1 " in line for line in lines[lines_before:]))
+            await harness.wait_until(lambda: any(b"served" in data for data in sink.received))
         path, value, timestamp = next(line for line in lines if b".served " in line).split()
         assert (path, value) == (b"stalltiller.n0.served", b"1") and int(timestamp) > 1_700_000_000
-        header, values = collectd_decoded(next(data for data in sink.received if b"served" in data))
+        header, values = decode_collectd_packet(next(data for data in sink.received if b"served" in data))
         assert (header[0], header[2], header[3], values["served"]) == (b"n0", b"stalltiller", b"n0", 1)
         transport.close()
         server.close()
@@ -274,11 +281,11 @@
             await asyncio.sleep(30)
 
         server = await asyncio.start_server(accept_without_reading, "127.0.0.1", 0)
-        world = MetricsWorld("http")
-        world.graphite, world.collectd = server.sockets[0].getsockname(), ("127.0.0.1", 9)
-        async with world:
+        harness = MetricsHarness("http")
+        harness.graphite, harness.collectd = server.sockets[0].getsockname(), ("127.0.0.1", 9)
+        async with harness:
             await asyncio.sleep(0.2)
-            assert (await world.read()).end == "served"
+            assert (await harness.read()).outcome == "served"
         server.close()
 
     asyncio.run(scenario())
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -25,7 +25,7 @@
     TargetStatus,
 )
 from stalltiller.scheduling.scheduler import Scheduler
-from tests.helpers import entry, plan, request, request_class, rules, settings
+from tests.helpers import make_target, plan, request, request_class, rules, settings
 from tests.rule_checker import RuleViolationError, SchedulerSimulation, target_list
 
 CLASSES = (
@@ -117,7 +117,9 @@
     for at_ms, target_id, status in list_changes:
         simulation.schedule(
             at_ms / 1000,
-            TargetListUpdate(TargetListKind.DELTA, (entry(target_id, zone=target_id % 2, status=status),)),
+            TargetListUpdate(
+                TargetListKind.DELTA, (make_target(target_id, zone=target_id % 2, status=status),)
+            ),
         )
     simulation.run(results)
     return simulation
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -20,7 +20,15 @@
 from stalltiller.scheduling import Idempotency
 from tests.helpers import request_class
 from tests.simulated_clock import run_on_simulated_clock
-from tests.stand_ins import BLOCK, DEADLINE, PER_UNIT, VOLUME, Standin, World, read_message
+from tests.stand_ins import (
+    BLOCK_BYTES,
+    BLOCKS_PER_UNIT,
+    DEADLINE_SECONDS,
+    VOLUME,
+    InitiatorHarness,
+    StubServer,
+    read_message,
+)
 
 
 def encode_get(tag: int, **fields: str) -> bytes:
@@ -31,7 +39,7 @@
             "Host": "h",
             "X-Request-ID": f"race{tag}",
             "Tier": "plan",
-            "X-Timeout": str(DEADLINE),
+            "X-Timeout": str(DEADLINE_SECONDS),
             "IO-Info": f"volume={VOLUME:x},units=1,shard=0,hosts=1",
             **fields,
         },
@@ -40,16 +48,16 @@
 
 
 def run_scenario(scenario, kind="http", run=asyncio.run, **changes):
-    async def run_in_world():
-        async with World(kind, **changes) as world:
-            await asyncio.wait_for(scenario(world), 20)
-            assert world.faults() == []
+    async def run_in_harness():
+        async with InitiatorHarness(kind, **changes) as harness:
+            await asyncio.wait_for(scenario(harness), 20)
+            assert harness.faults() == []
 
-    run(run_in_world())
+    run(run_in_harness())
 
 
-def connect_client(world) -> socket.socket:
-    return socket.create_connection(world.app.listener.address, timeout=5)
+def connect_client(harness) -> socket.socket:
+    return socket.create_connection(harness.app.listener.address, timeout=5)
 
 
 async def read_to_end(sock: socket.socket) -> bytes:
@@ -64,19 +72,19 @@
 class ConnectionGate:
     """Delays new connections to targets until it is opened."""
 
-    def __init__(self, world) -> None:
-        pool = world.app.target_client.pool
+    def __init__(self, harness) -> None:
+        pool = harness.app.target_client.pool
         self._connect = pool._connect
         pool._connect = self.connect
-        self.world = world
+        self.harness = harness
         self.held_count = 0
         self.is_open = asyncio.Event()
 
     async def assert_nothing_starts(self) -> None:
         """Open the gate and check that no delayed attempt starts: the next request arrives first."""
         self.is_open.set()
-        assert (await self.world.read(tag=2)).end == "served"
-        assert [tag for _, tag in self.world.targets[0].begun] == [2]
+        assert (await self.harness.read(tag=2)).outcome == "served"
+        assert [tag for _, tag in self.harness.targets[0].received] == [2]
 
     async def connect(self, host, port):
         self.held_count += 1
@@ -90,14 +98,14 @@
 def test_no_attempt_starts_for_a_client_that_disconnects_while_a_connection_is_established(kind, draining):
     """The attempt was not cancelled and started once its connection was established."""
 
-    async def scenario(world):
-        gate = ConnectionGate(world)
-        client_task = asyncio.create_task(world.read(tag=1))
-        await world.until(lambda: gate.held_count == 1)
+    async def scenario(harness):
+        gate = ConnectionGate(harness)
+        client_task = asyncio.create_task(harness.read(tag=1))
+        await harness.wait_until(lambda: gate.held_count == 1)
         if draining:
-            world.app.stop.set()
+            harness.app.stop.set()
         client_task.cancel()
-        await world.until(lambda: world.app.engine.open_request_count == 0)
+        await harness.wait_until(lambda: harness.app.engine.open_request_count == 0)
         await gate.assert_nothing_starts()
 
     run_scenario(scenario, kind)
@@ -106,12 +114,12 @@
 def test_a_request_is_not_sent_if_its_client_disconnected_before_it_was_read():
     """The request is sent in a loop iteration before the one that reads the end of the connection."""
 
-    async def scenario(world):
-        with connect_client(world) as client:
+    async def scenario(harness):
+        with connect_client(harness) as client:
             client.sendall(encode_get(1))
-        assert (await world.read(tag=2)).end == "served"
-        assert [tag for _, tag in world.targets[0].begun] == [2]
-        assert world.app.engine.counts["gone"] == 1
+        assert (await harness.read(tag=2)).outcome == "served"
+        assert [tag for _, tag in harness.targets[0].received] == [2]
+        assert harness.app.engine.counts["gone"] == 1
 
     run_scenario(scenario)
 
@@ -119,27 +127,29 @@
 def test_the_disconnect_of_a_client_that_pipelined_more_than_a_buffer_is_detected():
     """The connection was no longer read once the buffer was full, so its end was not detected."""
 
-    async def scenario(world):
-        gate = ConnectionGate(world)
-        client = connect_client(world)
+    async def scenario(harness):
+        gate = ConnectionGate(harness)
+        client = connect_client(harness)
         client.sendall(encode_get(1) + bytes(200_000))
-        await world.until(lambda: gate.held_count == 1)
+        await harness.wait_until(lambda: gate.held_count == 1)
         client.close()
-        await world.until(lambda: world.app.engine.open_request_count == 0, DEADLINE / 3)
+        await harness.wait_until(lambda: harness.app.engine.open_request_count == 0, DEADLINE_SECONDS / 3)
         await gate.assert_nothing_starts()
-        assert world.app.engine.counts["gone"] == 1
+        assert harness.app.engine.counts["gone"] == 1
 
     run_scenario(scenario)
 
 
 def test_a_client_that_pipelines_too_much_gets_its_response_and_then_a_close():
-    async def scenario(world):
-        client = connect_client(world)
+    async def scenario(harness):
+        client = connect_client(harness)
         client.sendall(encode_get(1) + bytes(200_000))
         response = await read_to_end(client)
-        assert response.startswith(b"HTTP/1.1 200") and response.endswith(world.targets[0].content(1, BLOCK))
+        assert response.startswith(b"HTTP/1.1 200") and response.endswith(
+            harness.targets[0].stored_data(1, BLOCK_BYTES)
+        )
         client.close()
-        await world.until(lambda: len(world.app.listener) == 0)
+        await harness.wait_until(lambda: len(harness.app.listener) == 0)
 
     run_scenario(scenario)
 
@@ -147,19 +157,19 @@
 def test_the_disconnect_of_a_host_whose_commands_are_not_read_is_detected():
     """The host does not read its completions, so the initiator reads no further commands from it."""
 
-    async def scenario(world):
-        gate = ConnectionGate(world)
-        _, io = await world.client.associate()
-        size = BLOCK * PER_UNIT
-        io.writer.write(nvme.io_command(nvme.READ, 9, 1, 1, size // BLOCK, size, b""))
-        await world.until(lambda: gate.held_count == 1)
-        queue = next(iter(world.app.server.associations.values())).queues[1]
+    async def scenario(harness):
+        gate = ConnectionGate(harness)
+        _, io = await harness.client.associate()
+        size = BLOCK_BYTES * BLOCKS_PER_UNIT
+        io.writer.write(nvme.io_command(nvme.READ, 9, 1, 1, size // BLOCK_BYTES, size, b""))
+        await harness.wait_until(lambda: gate.held_count == 1)
+        queue = next(iter(harness.app.server.associations.values())).queues[1]
         queue.pause_writing()  # as when the kernel takes no more because the host does not read
         io.writer.write(b"".join(nvme.command(nvme.KEEP_ALIVE, 9) for _ in range(400)))
-        await world.until(lambda: queue._paused)
-        for stream in world.client.streams:  # as if the host had failed: all its connections end
+        await harness.wait_until(lambda: queue._paused)
+        for stream in harness.client.streams:  # as if the host had failed: all its connections end
             stream.writer.transport.abort()
-        await world.until(lambda: world.app.engine.open_request_count == 0, DEADLINE / 3)
+        await harness.wait_until(lambda: harness.app.engine.open_request_count == 0, DEADLINE_SECONDS / 3)
         await gate.assert_nothing_starts()
 
     run_scenario(scenario, "nvme")
@@ -185,15 +195,15 @@
 def test_bytes_that_arrive_during_a_close_do_not_lose_the_response(monkeypatch, is_invalid):
     """The unread bytes turned the close into a reset, which discarded the response."""
 
-    async def scenario(world):
-        client = connect_client(world)
+    async def scenario(harness):
+        client = connect_client(harness)
         call_around(monkeypatch, "_write_response", "before", lambda: client.sendall(b"GET /late"))
         client.sendall(encode_get(1, Connection="close", **({"Tier": "tin"} if is_invalid else {})))
         response = await read_to_end(client)
         assert response.startswith(b"HTTP/1.1 400" if is_invalid else b"HTTP/1.1 200")
         client.close()
-        await world.until(lambda: len(world.app.listener) == 0)
-        assert [tag for _, tag in world.targets[0].begun] == [1] * (not is_invalid)
+        await harness.wait_until(lambda: len(harness.app.listener) == 0)
+        assert [tag for _, tag in harness.targets[0].received] == [1] * (not is_invalid)
 
     run_scenario(scenario)
 
@@ -202,23 +212,23 @@
     """The close became a reset, which loses a preceding response that the client has not read yet."""
     monkeypatch.setattr("stalltiller.transport.listener.IDLE_TIMEOUT_SECONDS", 0.05)
 
-    async def scenario(world):
-        client = connect_client(world)
+    async def scenario(harness):
+        client = connect_client(harness)
         client.sendall(encode_get(1))
         call_around(monkeypatch, "is_clean", "after", lambda: client.sendall(encode_get(2)))
         response = await read_to_end(client)
         assert response.count(b"HTTP/1.1") == 1 and response.startswith(b"HTTP/1.1 200")
-        assert [tag for _, tag in world.targets[0].begun] == [1]
+        assert [tag for _, tag in harness.targets[0].received] == [1]
         client.close()
 
     run_scenario(scenario)
 
 
 def test_bytes_that_arrive_as_a_long_response_ends_do_not_truncate_it(monkeypatch):
-    async def scenario(world):
+    async def scenario(harness):
         size = 300_000
-        monkeypatch.setattr(world.targets[0], "content", lambda tag, _: b"x" * size)
-        client = connect_client(world)
+        monkeypatch.setattr(harness.targets[0], "stored_data", lambda tag, _: b"x" * size)
+        client = connect_client(harness)
         call_around(monkeypatch, "finish_stream", "before", lambda: client.sendall(b"GET /late"))
         client.sendall(encode_get(1, Connection="close"))
         assert (await read_to_end(client)).count(b"x") == size
@@ -228,16 +238,16 @@
 
 
 def test_bytes_after_an_administration_call_do_not_lose_its_response(monkeypatch):
-    async def scenario(world):
-        await world.app.admin.open("127.0.0.1", 0)
-        client = socket.create_connection(world.app.admin.address, timeout=5)
-        original = world.app.is_ready
+    async def scenario(harness):
+        await harness.app.admin.open("127.0.0.1", 0)
+        client = socket.create_connection(harness.app.admin.address, timeout=5)
+        original = harness.app.is_ready
 
         def ready():
             client.sendall(b"GET /late")
             return original()
 
-        monkeypatch.setattr(world.app, "is_ready", ready)
+        monkeypatch.setattr(harness.app, "is_ready", ready)
         client.sendall(b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n")
         assert (await read_to_end(client)).startswith(b"HTTP/1.1 200")
         client.close()
@@ -250,9 +260,9 @@
 def test_connections_that_wait_to_be_accepted_when_the_listener_stops_are_served(accepted):
     """A connection in the kernel's accept queue, or accepted but not set up yet, was reset."""
 
-    async def scenario(world):
-        listener = world.app.listener
-        client = connect_client(world)
+    async def scenario(harness):
+        listener = harness.app.listener
+        client = connect_client(harness)
         client.sendall(encode_get(1, Connection="close"))
         address = listener.address
         if accepted:  # stops between the accept and the iteration that sets up the connection
@@ -275,22 +285,22 @@
     monkeypatch.setattr("stalltiller.daemon.graceful_shutdown.KEEP_LISTENING_SECONDS", 0.01)
     monkeypatch.setattr("stalltiller.daemon.graceful_shutdown.CLOSE_IDLE_BEFORE_END_SECONDS", 0.01)
 
-    async def scenario(world):
-        client = connect_client(world)
+    async def scenario(harness):
+        client = connect_client(harness)
         client.sendall(encode_get(1)[:-2])  # an incomplete header keeps the connection open
-        await world.until(lambda: len(world.app.listener) == 1)
-        original = world.app.engine.finish_all
+        await harness.wait_until(lambda: len(harness.app.listener) == 1)
+        original = harness.app.engine.finish_all
 
         def finish_all():
             original()
             client.sendall(b"\r\n")
 
-        monkeypatch.setattr(world.app.engine, "finish_all", finish_all)
-        world.app.stop.set()
+        monkeypatch.setattr(harness.app.engine, "finish_all", finish_all)
+        harness.app.stop.set()
         assert (await read_to_end(client)).startswith(b"HTTP/1.1 503")
         client.close()
-        await asyncio.wait_for(world.running, 5)
-        assert world.targets[0].begun == []
+        await asyncio.wait_for(harness.running, 5)
+        assert harness.targets[0].received == []
 
     run_scenario(scenario)
 
@@ -299,16 +309,16 @@
 def test_finish_all_cancels_an_attempt_that_has_not_started_and_rejects_its_request(write):
     """An attempt of a finished request started once its connection was established; a write was failed."""
 
-    async def scenario(world):
-        gate = ConnectionGate(world)
-        client_task = asyncio.create_task(world.write(tag=1) if write else world.read(tag=1))
-        await world.until(lambda: gate.held_count == 1)
-        world.app.engine.finish_all()
+    async def scenario(harness):
+        gate = ConnectionGate(harness)
+        client_task = asyncio.create_task(harness.write(tag=1) if write else harness.read(tag=1))
+        await harness.wait_until(lambda: gate.held_count == 1)
+        harness.app.engine.finish_all()
         gate.is_open.set()
-        assert (await client_task).end == "refused"
-        world.app.engine._is_stopped = False
-        assert (await world.read(tag=2)).end == "served"
-        assert [tag for _, tag in world.targets[0].begun] == [2]
+        assert (await client_task).outcome == "refused"
+        harness.app.engine._is_stopped = False
+        assert (await harness.read(tag=2)).outcome == "served"
+        assert [tag for _, tag in harness.targets[0].received] == [2]
 
     run_scenario(scenario)
 
@@ -318,18 +328,18 @@
     for name in ("KEEP_LISTENING_SECONDS", "CLOSE_IDLE_BEFORE_END_SECONDS", "LINGER_SECONDS"):
         monkeypatch.setattr(f"stalltiller.daemon.graceful_shutdown.{name}", 0.01)
 
-    async def scenario(world):
+    async def scenario(harness):
         async def send_partial_response(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b"x" * 300_000)
             await asyncio.get_running_loop().create_future()
 
-        world.targets[0].serve = send_partial_response
-        client = connect_client(world)
+        harness.targets[0].serve = send_partial_response
+        client = connect_client(harness)
         client.sendall(encode_get(1).replace(b"HTTP/1.1", b"HTTP/1.0"))
-        await world.until(lambda: world.app.engine.counts["relayed"] == 1)
-        world.app.stop.set()
-        await asyncio.wait_for(world.running, 5)
+        await harness.wait_until(lambda: harness.app.engine.counts["relayed"] == 1)
+        harness.app.stop.set()
+        await asyncio.wait_for(harness.running, 5)
         # The reset must come now: the end of the process closes open connections in an orderly way.
         with pytest.raises(ConnectionResetError):
             await asyncio.wait_for(read_to_end(client), 1)
@@ -344,24 +354,24 @@
     class_with_key = request_class(
         name="read",
         latency_objective=0.4,
-        deadline=DEADLINE,
+        deadline=DEADLINE_SECONDS,
         idempotency=Idempotency.IDEMPOTENCY_KEY,
         deduplication_window=0.1,
     )
 
-    async def scenario(world):
-        world.targets[0].mode = "break"
-        pool = world.app.target_client.pool
-        connect = world.app.target_client.connect
+    async def scenario(harness):
+        harness.targets[0].mode = "break"
+        pool = harness.app.target_client.pool
+        connect = harness.app.target_client.connect
 
         async def connect_late(host, port):
-            await asyncio.sleep(0.2 if world.targets[0].begun else 0.0)
+            await asyncio.sleep(0.2 if harness.targets[0].received else 0.0)
             return await connect(host, port)
 
         pool._connect = connect_late
-        assert (await world.read(tag=1)).end != "served"
+        assert (await harness.read(tag=1)).outcome != "served"
         await asyncio.sleep(1.0)
-        assert len(world.targets[0].begun) == 1
+        assert len(harness.targets[0].received) == 1
 
     run_scenario(scenario, run=run_on_simulated_clock, classes=(class_with_key,))
 
@@ -370,22 +380,22 @@
     """The key was not forwarded, so targets would have executed a retry a second time."""
     received_fields = []
 
-    class RecordingTarget(Standin):
+    class RecordingTarget(StubServer):
         async def serve(self, reader, writer):
             received_fields.append((await read_message(reader)).head.fields)
             writer.write(http.encode_response(200, b"ok"))
 
-    async def scenario(world):
+    async def scenario(harness):
         target = RecordingTarget()
         await target.open()
         target.name, target.shard = "s-0", 0
-        world.discovery.set(target)
-        await world.until(
+        harness.discovery.set(target)
+        await harness.wait_until(
             lambda: any(
-                endpoint.port == target.port for endpoint in world.app.engine._targets._endpoints.values()
+                endpoint.port == target.port for endpoint in harness.app.engine._targets._endpoints.values()
             )
         )
-        client = connect_client(world)
+        client = connect_client(harness)
         client.sendall(encode_get(1, Connection="close", **{"Idempotency-Key": "k-17"}))
         assert (await read_to_end(client)).endswith(b"ok")
         assert received_fields[0]["idempotency-key"] == "k-17"
@@ -400,23 +410,25 @@
     """Only a drain announced before the engine started an attempt limited when it was sent."""
     long_deadline_class = request_class(name="read", latency_objective=4.0, deadline=5.0)
 
-    async def scenario(world):
-        target, gate = world.targets[0], ConnectionGate(world)
-        world.app.target_client.pool._connect_timeout = 9.0
-        client = connect_client(world)
+    async def scenario(harness):
+        target, gate = harness.targets[0], ConnectionGate(harness)
+        harness.app.target_client.pool._connect_timeout = 9.0
+        client = connect_client(harness)
         client.sendall(encode_get(1, Connection="close", **{"X-Timeout": "5.0"}))
-        await world.until(lambda: gate.held_count == 1)
+        await harness.wait_until(lambda: gate.held_count == 1)
         if listed_as == "missing":
-            del world.discovery.lines[target.name]
-            world.discovery.set(world.targets[1])
+            del harness.discovery.lines[target.name]
+            harness.discovery.set(harness.targets[1])
         else:
-            world.discovery.set(target, listed_as)
-        logged_before = len(world.logged)
-        await world.until(lambda: any(line["event"] == "list" for line in world.logged[logged_before - 1 :]))
-        await asyncio.sleep(world.settings.rules.drain_grace + 0.1)  # on the simulated clock
+            harness.discovery.set(target, listed_as)
+        logged_before = len(harness.logged)
+        await harness.wait_until(
+            lambda: any(line["event"] == "list" for line in harness.logged[logged_before - 1 :])
+        )
+        await asyncio.sleep(harness.settings.rules.drain_grace + 0.1)  # on the simulated clock
         gate.is_open.set()
         assert not (await read_to_end(client)).startswith(b"HTTP/1.1 200")
-        assert target.begun == []
+        assert target.received == []
         client.close()
 
     run_scenario(scenario, run=run_on_simulated_clock, classes=(long_deadline_class,))
@@ -425,31 +437,31 @@
 def test_a_late_duplicate_response_is_not_used_for_the_next_request(monkeypatch):
     """The duplicate crossed the next request on the connection and was taken for its response."""
 
-    async def scenario(world):
-        world.app.target_client.pool._avoided_idle_range = (
+    async def scenario(harness):
+        harness.app.target_client.pool._avoided_idle_range = (
             0.0,
             60.0,
         )  # long enough for the second response on a slow machine
 
         async def serve_twice(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
-            response = http.encode_response(200, world.targets[0].content(1, BLOCK))
+            response = http.encode_response(200, harness.targets[0].stored_data(1, BLOCK_BYTES))
             writer.write(response)
             await reader.readuntil(b"\r\n\r\n")
             writer.write(response)
             await reader.read()
 
-        original_serve, world.targets[0].serve = world.targets[0].serve, serve_twice
-        assert (await world.read(tag=1)).data == world.targets[0].content(1, BLOCK)
-        world.targets[0].serve = original_serve
-        assert (await world.read(tag=2)).data == world.targets[0].content(2, BLOCK)
+        original_serve, harness.targets[0].serve = harness.targets[0].serve, serve_twice
+        assert (await harness.read(tag=1)).data == harness.targets[0].stored_data(1, BLOCK_BYTES)
+        harness.targets[0].serve = original_serve
+        assert (await harness.read(tag=2)).data == harness.targets[0].stored_data(2, BLOCK_BYTES)
 
     run_scenario(scenario)
 
 
 def test_a_connection_is_reused_outside_the_avoided_idle_range_or_at_the_connection_limit():
-    async def scenario(world):
-        pool = world.app.target_client.pool
+    async def scenario(harness):
+        pool = harness.app.target_client.pool
         for max_connections, min_avoided, max_avoided, opened_count in (
             (99, 0.0, 0.0, 1),
             (99, 0.0, 60.0, 3),
@@ -458,7 +470,7 @@
         ):
             pool._max_channels, pool._avoided_idle_range = max_connections, (min_avoided, max_avoided)
             for _ in range(2):
-                assert (await world.read(tag=1)).end == "served"
+                assert (await harness.read(tag=1)).outcome == "served"
             assert pool.opened_count == opened_count
 
     run_scenario(scenario)
@@ -471,7 +483,7 @@
 def test_a_reset_does_not_complete_a_response_without_a_length(size, reset, slow):
     """Only an orderly close completes such a response, even if its client reads slowly."""
 
-    async def scenario(world):
+    async def scenario(harness):
         async def send_response(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b"x" * size)
@@ -483,8 +495,8 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             writer.transport.close()
 
-        world.targets[0].serve = send_response
-        client = connect_client(world)
+        harness.targets[0].serve = send_response
+        client = connect_client(harness)
         if slow:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.sendall(encode_get(1, Connection="close"))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -27,7 +27,7 @@
     restore_state,
 )
 from stalltiller.scheduling import TargetStatus
-from tests.helpers import SchedulerHarness, entry, outcome, plan, request
+from tests.helpers import SchedulerHarness, attempt_finished, make_target, plan, request
 
 NOW = 1000.0
 ADDRESS = "127.0.0.1:8500"
@@ -139,10 +139,10 @@
 
 def test_latency_estimates_and_token_levels_are_restored_in_the_next_process():
     previous, restarted = (
-        SchedulerHarness((entry(1, started_at=5.0), entry(2)), plans=(LIMITED,)) for _ in range(2)
+        SchedulerHarness((make_target(1, started_at=5.0), make_target(2)), plans=(LIMITED,)) for _ in range(2)
     )
-    previous.feed(20.0, request(1, units=4.0))
-    previous.feed(20.1, outcome(1, latency=0.1))
+    previous.handle(20.0, request(1, units=4.0))
+    previous.handle(20.1, attempt_finished(1, latency=0.1))
     estimates, levels = capture_state(previous.scheduler, 20.1, NOW)
     assert [(estimate.target_name, estimate.target_started_at) for estimate in estimates] == [
         ("1", NOW + 5.0),
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -15,8 +15,8 @@
 from stalltiller.daemon.settings_reload import transitional_settings
 from stalltiller.scheduling import DeduplicationScope, Idempotency
 from tests.helpers import plan, request_class, settings
-from tests.stand_ins import CLASSES, DEADLINE, World
-from tests.test_program import EXAMPLE
+from tests.stand_ins import CLASSES, DEADLINE_SECONDS, InitiatorHarness
+from tests.test_program import EXAMPLE_CONFIG
 
 READ, WRITE = CLASSES
 KEYED = request_class(name="keyed", idempotency=Idempotency.IDEMPOTENCY_KEY)
@@ -83,36 +83,36 @@
     monkeypatch.setattr(settings_reload, "TRANSITION_SECONDS", 60.0)
 
     async def scenario():
-        async with World("http") as world:
-            world.targets[0].delay = 0.4
-            open_write = asyncio.create_task(world.write(tag=1))
-            await world.until(lambda: world.targets[0].begun)
+        async with InitiatorHarness("http") as harness:
+            harness.targets[0].delay = 0.4
+            open_write = asyncio.create_task(harness.write(tag=1))
+            await harness.wait_until(lambda: harness.targets[0].received)
             new_settings = replace(
-                world.settings,
+                harness.settings,
                 max_attempts=1,
                 classes=(
                     request_class(
                         name="next",
                         latency_objective=0.4,
-                        deadline=DEADLINE,
+                        deadline=DEADLINE_SECONDS,
                         idempotency=Idempotency.UNSAFE,
                         is_write=True,
                     ),
                     READ,
                 ),
             )
-            world.app.reload(lambda: replace(world.config(), settings=new_settings))
-            for expected_end in ("served", "failed"):  # the old class is unknown after the transition
-                result = await world.write(tag=2, shard=1)
-                assert result.end == expected_end
-                world.app.settings_reloader.apply_settings(new_settings)  # the end of the transition
-            assert world.app.engine.counts["bad_requests"] == 1
-            assert (await open_write).end == "served"
-            assert (await world.read(tag=3, shard=1)).end == "served"
-            world.targets[1].mode = "error"
-            assert (await world.read(tag=4, shard=1)).end == "refused"
-            assert [tag for tag, _ in world.targets[1].ran].count(4) == 1
-            assert world.faults() == []
+            harness.app.reload(lambda: replace(harness.config(), settings=new_settings))
+            for expected_outcome in ("served", "failed"):  # the old class is unknown after the transition
+                result = await harness.write(tag=2, shard=1)
+                assert result.outcome == expected_outcome
+                harness.app.settings_reloader.apply_settings(new_settings)  # the end of the transition
+            assert harness.app.engine.counts["bad_requests"] == 1
+            assert (await open_write).outcome == "served"
+            assert (await harness.read(tag=3, shard=1)).outcome == "served"
+            harness.targets[1].mode = "error"
+            assert (await harness.read(tag=4, shard=1)).outcome == "refused"
+            assert [tag for tag, _ in harness.targets[1].executed].count(4) == 1
+            assert harness.faults() == []
 
     asyncio.run(scenario())
 
@@ -121,18 +121,19 @@
     monkeypatch.setattr(settings_reload, "TRANSITION_SECONDS", 0.1)
 
     async def scenario():
-        async with World("nvme") as world:
-            new_settings = replace(world.settings, classes=(WRITE, READ))
+        async with InitiatorHarness("nvme") as harness:
+            new_settings = replace(harness.settings, classes=(WRITE, READ))
             mapping = replace(
-                world.config().nvme, opcodes={2: OpcodeMapping(1, DEADLINE), 1: OpcodeMapping(0, DEADLINE)}
+                harness.config().nvme,
+                opcodes={2: OpcodeMapping(1, DEADLINE_SECONDS), 1: OpcodeMapping(0, DEADLINE_SECONDS)},
             )
-            world.app.reload(lambda: replace(world.config(), settings=new_settings, nvme=mapping))
+            harness.app.reload(lambda: replace(harness.config(), settings=new_settings, nvme=mapping))
             for tag in (1, 2):
-                assert (await world.write(tag)).end == (await world.read(tag)).end == "served"
+                assert (await harness.write(tag)).outcome == (await harness.read(tag)).outcome == "served"
                 await asyncio.sleep(0.15)
-            world.targets[0].mode = "error"
-            assert (await world.write(tag=3)).end == "failed"
-            assert [tag for tag, _ in world.targets[0].ran].count(3) == 1
+            harness.targets[0].mode = "error"
+            assert (await harness.write(tag=3)).outcome == "failed"
+            assert [tag for tag, _ in harness.targets[0].executed].count(3) == 1
 
     asyncio.run(scenario())
 
@@ -142,13 +143,13 @@
     monkeypatch.setattr(settings_reload, "TRANSITION_SECONDS", 0.1)
 
     async def scenario():
-        async with World("nvme") as world:
-            mapping = world.config().nvme
+        async with InitiatorHarness("nvme") as harness:
+            mapping = harness.config().nvme
             mapping = replace(mapping, namespaces={**mapping.namespaces, 7: mapping.namespaces[1]})
             for _ in range(2):
-                world.app.reload(lambda: replace(world.config(), nvme=mapping))
-            await world.until(lambda: 7 in world.app.server.mapping.namespaces, 2.0)
-            assert world.app.settings_reloader._transition is None
+                harness.app.reload(lambda: replace(harness.config(), nvme=mapping))
+            await harness.wait_until(lambda: 7 in harness.app.server.mapping.namespaces, 2.0)
+            assert harness.app.settings_reloader._transition is None
 
     asyncio.run(scenario())
 
@@ -158,38 +159,38 @@
     monkeypatch.setattr(settings_reload, "TRANSITION_SECONDS", 0.0)
 
     def read_file():
-        world_settings = config.parse_settings(json.loads(file.read_text()))
-        return replace(world.config(), settings=replace(world.settings, classes=world_settings.classes))
+        file_settings = config.parse_settings(json.loads(file.read_text()))
+        return replace(harness.config(), settings=replace(harness.settings, classes=file_settings.classes))
 
     async def scenario():
-        async with world:
+        async with harness:
             classes = nested["classes"] = [*nested["classes"][1:], {**nested["classes"][1], "name": "new"}]
             file.write_text(json.dumps(nested))
-            world.app.reload(read_file)
+            harness.app.reload(read_file)
             await asyncio.sleep(0.05)
-            fields = world.app.server.request_fields
+            fields = harness.app.server.request_fields
             assert [cls["name"] for cls in classes] == ["write", "report-export", "new"]
             assert [fields._methods[fields._class_indexes[name]] for name in ("write", "new")] == [
                 ("PUT",),
                 ("GET", "PUT"),
             ]
-            assert (await world.write(tag=1)).end == "served"
+            assert (await harness.write(tag=1)).outcome == "served"
 
-    file, nested = tmp_path / "settings.json", copy.deepcopy(EXAMPLE["settings"])
+    file, nested = tmp_path / "settings.json", copy.deepcopy(EXAMPLE_CONFIG["settings"])
     for cls, name in zip(nested["classes"], ("read", "write"), strict=False):
         cls["name"] = name
-    world = World("http")
+    harness = InitiatorHarness("http")
     asyncio.run(scenario())
 
 
 def test_a_list_of_write_flags_with_another_length_than_the_classes_is_ignored():
-    nested = copy.deepcopy(EXAMPLE["settings"])
+    nested = copy.deepcopy(EXAMPLE_CONFIG["settings"])
     nested["classes"].append({**nested["classes"][0], "name": "new"})
     assert {cls.is_write for cls in config.parse_settings(nested).classes} == {None}
 
 
 def example_with(path: str, value: object) -> dict:
-    data = copy.deepcopy(EXAMPLE)
+    data = copy.deepcopy(EXAMPLE_CONFIG)
     *parents, last = path.split(".")
     parent = data
     for name in parents:
@@ -222,16 +223,16 @@
 )
 def test_a_file_with_an_invalid_or_missing_key_changes_nothing(path, value, tmp_path):
     async def scenario():
-        async with World("http") as world:
-            file.write_text(json.dumps(EXAMPLE))
-            world.app.settings_reloader.config = read_platform_config({"PROXY_CONFIG": str(file)})
-            settings_before = world.app.engine.settings
+        async with InitiatorHarness("http") as harness:
+            file.write_text(json.dumps(EXAMPLE_CONFIG))
+            harness.app.settings_reloader.config = read_platform_config({"PROXY_CONFIG": str(file)})
+            settings_before = harness.app.engine.settings
             file.write_text(json.dumps({**example_with(path, value), "name": "other"}))
-            world.app.reload(lambda: read_platform_config({"PROXY_CONFIG": str(file)}))
-            assert world.logged[-1]["event"] == "reload_failed"
+            harness.app.reload(lambda: read_platform_config({"PROXY_CONFIG": str(file)}))
+            assert harness.logged[-1]["event"] == "reload_failed"
             assert (
-                world.app.engine.settings is settings_before
-                and world.app.settings_reloader.config.name == EXAMPLE["name"]
+                harness.app.engine.settings is settings_before
+                and harness.app.settings_reloader.config.name == EXAMPLE_CONFIG["name"]
             )
 
     file = tmp_path / "config.json"
--- a/tests/test_routing_tables.py
+++ b/tests/test_routing_tables.py
@@ -10,13 +10,13 @@
 from stalltiller.routing.target_table import DRAIN_MARGIN_SECONDS, TargetTable
 from stalltiller.routing.timers import TimerQueue
 from stalltiller.scheduling import TargetListKind, TargetStatus
-from tests.helpers import entry
+from tests.helpers import make_target
 
 DRAIN_GRACE = 0.5
 
 
 def endpoint(target_id, status=TargetStatus.READY):
-    return TargetEndpoint(entry(target_id, status=status), "h", target_id)
+    return TargetEndpoint(make_target(target_id, status=status), "h", target_id)
 
 
 def test_timers_run_by_due_time_and_then_in_the_order_in_which_they_were_set():
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -15,7 +15,7 @@
     target_load,
 )
 from stalltiller.scheduling.state import Volume, VolumeAllocation
-from tests.helpers import SchedulerHarness, entry, outcome, plan, request, request_class
+from tests.helpers import SchedulerHarness, attempt_finished, make_target, plan, request, request_class
 
 
 def add_allocation(
@@ -97,7 +97,7 @@
 
 def test_a_limit_is_split_evenly_before_others_demand_is_known():
     harness = SchedulerHarness(plans=(plan(rate=10.0, limit=12.0, burst=60.0),))
-    harness.feed(0.0, request(1, volume_initiator_count=3))
+    harness.handle(0.0, request(1, volume_initiator_count=3))
     allocation = harness.scheduler.targets[1].allocations[1]
     allocation.demand.add(0.0, 1000.0)
     requested_rate, _ = harness.scheduler._requested_and_reserved_rates(allocation)
@@ -108,10 +108,14 @@
     harness = SchedulerHarness()
     target = harness.scheduler.targets[1]
     initial_limit = int(target.concurrency_limit)
-    harness.feed(1.0, *[request(i) for i in range(initial_limit)])
-    harness.feed(1.1, *[outcome(i) for i in range(1)])
+    harness.handle(1.0, *[request(i) for i in range(initial_limit)])
+    harness.handle(1.1, *[attempt_finished(i) for i in range(1)])
     assert target.concurrency_limit == pytest.approx(initial_limit + 1 / initial_limit)
-    harness.feed(2.0, outcome(1, status=AttemptStatus.REJECTED), outcome(2, status=AttemptStatus.REJECTED))
+    harness.handle(
+        2.0,
+        attempt_finished(1, status=AttemptStatus.REJECTED),
+        attempt_finished(2, status=AttemptStatus.REJECTED),
+    )
     assert target.concurrency_limit == pytest.approx(1.5)  # half of the three attempts in flight
 
 
@@ -119,9 +123,9 @@
     harness = SchedulerHarness()
     target = harness.scheduler.targets[1]
     target.concurrency_limit = target_load.MAX_CONCURRENCY
-    harness.feed(0.0, *[request(i) for i in range(30)])
+    harness.handle(0.0, *[request(i) for i in range(30)])
     assert len(target.in_flight) == target_load.MAX_CONCURRENCY
-    harness.feed(0.1, outcome(0))
+    harness.handle(0.1, attempt_finished(0))
     assert target.concurrency_limit == target_load.MAX_CONCURRENCY
 
 
@@ -132,55 +136,55 @@
     target.concurrency_limit = 1.0
     target.latency = 0.01
     harness.scheduler.volumes.clear()
-    assert harness.sends(20.0, request(1)) == [1]
-    assert harness.sends(20.0, request(2), request(3, class_index=1)) == []
+    assert harness.started_request_ids(20.0, request(1)) == [1]
+    assert harness.started_request_ids(20.0, request(2), request(3, class_index=1)) == []
     target.concurrency_limit = 1.0
-    assert harness.sends(20.01, outcome(1, latency=0.6)) == [3]
+    assert harness.started_request_ids(20.01, attempt_finished(1, latency=0.6)) == [3]
     # Volume 9 has no grant left at the target: its request waits although it is due first.
     target.allocations[1].bucket.level = 50.0
-    harness.feed(20.02, request(4, class_index=1, volume=9))
+    harness.handle(20.02, request(4, class_index=1, volume=9))
     target.allocations[9].grant = target.allocations[9].bucket.level = -1.0
     harness.scheduler.volumes[9].reservation.level = -1.0
-    assert harness.sends(20.03, outcome(3, latency=0.6)) == [2]
+    assert harness.started_request_ids(20.03, attempt_finished(3, latency=0.6)) == [2]
 
 
 def test_a_request_is_rejected_early_with_retry_after_only_if_it_would_miss_its_objective():
     harness = SchedulerHarness()
     target = harness.scheduler.targets[1]
     target.concurrency_limit, target.latency = 1.0, 0.3
-    harness.feed(0.0, request(1))
-    assert harness.feed(0.0, request(2)) == []
-    actions = harness.feed(0.0, *[request(i) for i in range(3, 8)])
+    harness.handle(0.0, request(1))
+    assert harness.handle(0.0, request(2)) == []
+    actions = harness.handle(0.0, *[request(i) for i in range(3, 8)])
     assert actions and all(isinstance(a, Reject) and a.retry_after == 1.5 for a in actions)
     assert all(r.request_id != 2 for r in actions)
 
 
 def test_a_new_object_goes_to_the_least_loaded_target_that_is_not_warming_up():
-    harness = SchedulerHarness(targets=(entry(1), entry(2), entry(3, started_at=0.0)))
+    harness = SchedulerHarness(targets=(make_target(1), make_target(2), make_target(3, started_at=0.0)))
     harness.scheduler.targets[1].in_flight = dict.fromkeys(range(90, 93))
-    (attempt,) = harness.feed(0.0, request(1, shard=None))
+    (attempt,) = harness.handle(0.0, request(1, shard=None))
     assert attempt.target_id == 2
 
 
 def test_the_same_events_give_the_same_actions():
     def run() -> list[Action]:
-        harness = SchedulerHarness(targets=(entry(1), entry(2)))
-        actions = harness.feed(0.0, *[request(i, shard=None, volume=i % 3) for i in range(40)])
-        return actions + harness.feed(0.3, *[outcome(i) for i in range(40)]) + harness.poll(0.9)
+        harness = SchedulerHarness(targets=(make_target(1), make_target(2)))
+        actions = harness.handle(0.0, *[request(i, shard=None, volume=i % 3) for i in range(40)])
+        return actions + harness.handle(0.3, *[attempt_finished(i) for i in range(40)]) + harness.poll(0.9)
 
     assert run() == run() != []
 
 
 def test_units_that_a_warming_target_serves_return_to_its_budget():
     """A budget that grew with time only left a restarted target idle long after it could serve."""
-    harness = SchedulerHarness(targets=(entry(1, started_at=0.0),))
+    harness = SchedulerHarness(targets=(make_target(1, started_at=0.0),))
     target = harness.scheduler.targets[1]
     harness.scheduler._has_slow_start_budget(target, 2.0)
     target.slow_start_threshold = 1.0  # a request needs budget for its full size
     budget = 40.0 * target_load.SLOW_START_BUDGET_FRACTION / 2
-    assert harness.sends(0.0, request(1, units=budget)) == [1]
+    assert harness.started_request_ids(0.0, request(1, units=budget)) == [1]
     assert not harness.scheduler._has_slow_start_budget(target, 2.0)
-    harness.feed(0.1, outcome(1))
+    harness.handle(0.1, attempt_finished(1))
     assert harness.scheduler._has_slow_start_budget(target, 2.0)
 
 
@@ -192,31 +196,31 @@
     harness = SchedulerHarness(classes=classes)
     target = harness.scheduler.targets[1]
     target.concurrency_limit, target.latency = 1.0, 0.4
-    harness.feed(0.0, request(1))
-    harness.feed(0.0, request(2), request(3, class_index=1))
-    assert [a.request_id for a in harness.feed(0.0, request(4, class_index=1))] == [2]
+    harness.handle(0.0, request(1))
+    harness.handle(0.0, request(2), request(3, class_index=1))
+    assert [a.request_id for a in harness.handle(0.0, request(4, class_index=1))] == [2]
 
 
 def test_a_target_that_refuses_connections_is_paused():
     """Without the pause, requests used up all their attempts immediately on a target that was down."""
     harness = SchedulerHarness()
-    harness.feed(0.0, request(1), request(2))
+    harness.handle(0.0, request(1), request(2))
     status = AttemptStatus.CONNECT_FAILED
-    assert harness.feed(0.01, outcome(1, status=status), outcome(2, status=status)) == []
+    assert harness.handle(0.01, attempt_finished(1, status=status), attempt_finished(2, status=status)) == []
     assert [a.request_id for a in harness.poll(0.011 + target_load.INITIAL_PAUSE_SECONDS)] == [1, 2]
 
 
 def test_an_attempt_expires_soon_after_its_latency_objective():
     """Otherwise an attempt with a lost response counts as in flight until the client's deadline."""
-    (attempt,) = SchedulerHarness().feed(0.0, request(1))
+    (attempt,) = SchedulerHarness().handle(0.0, request(1))
     assert 1.0 < attempt.expires_at < 1.2
 
 
 def test_a_timeout_as_long_as_a_slow_response_halves_the_used_concurrency():
     harness = SchedulerHarness()
-    harness.feed(0.0, request(1))
+    harness.handle(0.0, request(1))
     initial_limit = harness.scheduler.targets[1].concurrency_limit
-    harness.feed(0.6, outcome(1, status=AttemptStatus.TIMEOUT, latency=0.6))
+    harness.handle(0.6, attempt_finished(1, status=AttemptStatus.TIMEOUT, latency=0.6))
     assert (
         initial_limit == state.INITIAL_CONCURRENCY and harness.scheduler.targets[1].concurrency_limit == 0.5
     )  # half of the one attempt in flight
@@ -228,11 +232,11 @@
     target = harness.scheduler.targets[1]
     target.concurrency_limit, target.latency = 0.1, 0.05
     # The next request may be sent after latency / limit, which the jitter varies from 0.25 to 0.75 s.
-    harness.feed(0.0, request(1))
+    harness.handle(0.0, request(1))
     harness.scheduler.volumes[1].reservation.level = -100.0
-    harness.feed(0.3, outcome(1, status=AttemptStatus.ERROR, request_done=True))
+    harness.handle(0.3, attempt_finished(1, status=AttemptStatus.ERROR, request_done=True))
     target.paced_until = 0.5
-    assert harness.sends(0.31, request(2)) == []
+    assert harness.started_request_ids(0.31, request(2)) == []
     assert [a.request_id for a in harness.poll(0.51)] == [2]
     assert 0.51 + 0.25 <= target.paced_until <= 0.51 + 0.75
 
@@ -243,7 +247,7 @@
     target.concurrency_limit, target.paced_until = 0.1, 5.0
     harness.scheduler._accept(request(1))
     harness.scheduler.volumes[1].reservation.level = 5.0
-    assert harness.sends(0.0, request(2)) == [1]
+    assert harness.started_request_ids(0.0, request(2)) == [1]
 
 
 def test_a_limit_below_one_is_halved_only_by_congestion_and_doubled_by_timely_responses():
@@ -256,9 +260,9 @@
         (3, 0.5, minimum, minimum),
     ]:
         now = number * 5.0
-        harness.feed(now, request(number))
+        harness.handle(now, request(number))
         target.concurrency_limit = before
-        harness.feed(now + latency, outcome(number, latency=latency))
+        harness.handle(now + latency, attempt_finished(number, latency=latency))
         assert target.concurrency_limit == pytest.approx(after)
 
 
@@ -267,18 +271,21 @@
     target = harness.scheduler.targets[1]
     target.concurrency_limit = 1.0
     target.allocations.clear()
-    first = harness.sends(
+    first = harness.started_request_ids(
         0.0, request(1, idempotency_key=5), request(2, idempotency_key=6), request(3, idempotency_key=5)
     )
     target.allocations[1].bucket.level = 9.0  # within the volume's grant
     assert first + [a.request_id for a in harness.poll(0.01)] == [1, 3]
-    assert harness.sends(scheduler.SAME_KEY_WINDOW_SECONDS + 0.001, request(4, idempotency_key=5)) == []
+    assert (
+        harness.started_request_ids(scheduler.SAME_KEY_WINDOW_SECONDS + 0.001, request(4, idempotency_key=5))
+        == []
+    )
 
 
 def test_requests_without_a_key_may_not_exceed_the_concurrency_limit():
     harness = SchedulerHarness()
     harness.scheduler.targets[1].concurrency_limit = 1.0
-    assert harness.sends(0.0, request(1), request(2)) == [1]
+    assert harness.started_request_ids(0.0, request(1), request(2)) == [1]
 
 
 def test_most_of_a_limit_is_reserved_for_the_classes_of_the_highest_weight():
@@ -288,10 +295,11 @@
         request_class(name="export", priority_weight=1.0, latency_objective=2.5),
     )
     harness = SchedulerHarness(classes=classes, plans=(plan(limit=10.0, burst=28.0),))  # 18 tokens reserved
-    assert harness.sends(1.0, request(1, class_index=1)) == []  # 10 tokens in the bucket
-    assert harness.sends(1.1, request(2)) == [2]
-    assert harness.sends(1.2, outcome(2)) == []
-    assert harness.sends(3.0, TimerFired(1)) == [1]  # the bucket is full: further tokens would be lost
+    assert harness.started_request_ids(1.0, request(1, class_index=1)) == []  # 10 tokens in the bucket
+    assert harness.started_request_ids(1.1, request(2)) == [2]
+    assert harness.started_request_ids(1.2, attempt_finished(2)) == []
+    # The bucket is full: further tokens would be lost.
+    assert harness.started_request_ids(3.0, TimerFired(1)) == [1]
 
 
 def test_a_bucket_that_holds_one_request_serves_every_class():
@@ -300,4 +308,4 @@
         request_class(name="export", priority_weight=1.0, latency_objective=2.5),
     )
     harness = SchedulerHarness(classes=classes, plans=(plan(limit=10.0, burst=8.0),))
-    assert harness.sends(1.0, request(1, class_index=1, units=8.0)) == [1]
+    assert harness.started_request_ids(1.0, request(1, class_index=1, units=8.0)) == [1]
--- a/tests/test_slow_start_fleets.py
+++ b/tests/test_slow_start_fleets.py
@@ -12,7 +12,7 @@
 
 from stalltiller.scheduling import TargetListKind, TargetListUpdate
 from stalltiller.scheduling.scheduler import Scheduler
-from tests.helpers import entry, outcome, request, request_class, rules, settings
+from tests.helpers import attempt_finished, make_target, request, request_class, rules, settings
 from tests.test_contention import WarmingFleet
 
 STARTED_AT = 3.0
@@ -45,13 +45,13 @@
         self.case = case
         self.rng = random.Random(seed)
         self.targets = tuple(
-            entry(shard, started_at=STARTED_AT if shard == BUSY_SHARD else None)
+            make_target(shard, started_at=STARTED_AT if shard == BUSY_SHARD else None)
             for shard in range(1, case.shards + 1)
         )
         self.schedulers = [self.start_scheduler(0.0) for _ in range(case.initiators)]
-        self.free = STARTED_AT
-        self.number = 0
-        self.ends, self.sent = [], []
+        self.target_free_at = STARTED_AT
+        self.request_count = 0
+        self.attempt_ends, self.sent = [], []
         self.volumes = [
             (
                 self.rng.sample(range(1, case.shards + 1), self.rng.randint(1, 4)),
@@ -118,24 +118,26 @@
             while self.restarts_due and self.restarts_due[0][0] <= now:
                 at, index = self.restarts_due.pop(0)
                 self.schedulers[index] = self.start_scheduler(at)
-            while self.ends and self.ends[0][0] <= now:
-                at, index, number, latency, status = heapq.heappop(self.ends)
+            while self.attempt_ends and self.attempt_ends[0][0] <= now:
+                at, index, number, latency, status = heapq.heappop(self.attempt_ends)
                 if number in self.schedulers[index].pending:
                     self.handle(
-                        at, index, outcome(number, target_id=BUSY_SHARD, status=status, latency=latency)
+                        at,
+                        index,
+                        attempt_finished(number, target_id=BUSY_SHARD, status=status, latency=latency),
                     )
             volume = self.rng.choices(range(len(cumulative_weights)), cum_weights=cumulative_weights)[0]
             shards, volume_initiators, _ = self.volumes[volume]
             shard, index = self.rng.choice(shards), self.rng.choice(volume_initiators)
             if shard == BUSY_SHARD and now >= STARTED_AT:
-                self.number += 1
+                self.request_count += 1
                 self.handle(
                     now,
                     index,
                     request(
-                        self.number,
+                        self.request_count,
                         volume=volume,
-                        units=float(self.number % 3 + 1),
+                        units=float(self.request_count % 3 + 1),
                         volume_initiator_count=len(volume_initiators),
                         time_remaining=1.2,
                     ),
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -229,8 +229,8 @@
 
 def test_a_scheduler_responds_to_a_token_request_with_a_grant():
     scheduler = SchedulerHarness(may_message=True, plans=(plan(limit=100.0, burst=50.0),))
-    scheduler.feed(10.0, request(1, volume=17, volume_initiator_count=2))
-    actions = scheduler.feed(10.1, PeerMessage(1, fixture_bytes("tokens", "ask")))
+    scheduler.handle(10.0, request(1, volume=17, volume_initiator_count=2))
+    actions = scheduler.handle(10.1, PeerMessage(1, fixture_bytes("tokens", "ask")))
     assert actions == [SendPeerMessage(1, fixture_bytes("tokens", "grant"))]
 
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -13,7 +13,7 @@
 from stalltiller.transport.buffers import BufferPool
 from stalltiller.transport.watch import NOTIFICATION_DEADLINE_SECONDS, BackoffPollPolicy, Watch
 from tests.simulated_clock import run_on_simulated_clock
-from tests.stand_ins import Standin, read_message
+from tests.stand_ins import StubServer, read_message
 
 TARGET_COUNT = 60
 KNOWN_VERSION = 41
@@ -39,7 +39,7 @@
     ] == pytest.approx([min_backoff, max_backoff])
 
 
-class ScriptedDiscovery(Standin):
+class ScriptedDiscovery(StubServer):
     """Discovery that has a change from the first poll on and handles each poll by the script's next action.
 
     An action is silent (no response), reject (503) or abort (the connection); later polls are served.
@@ -181,7 +181,7 @@
     assert f"/v1/servers{'?' * bool(next_query)}{next_query} ".encode() in codec.encode_poll()
 
 
-class OverloadedDiscovery(Standin):
+class OverloadedDiscovery(StubServer):
     """Discovery that serves one poll at a time, in a time proportional to the targets in the response.
 
     A poll that would queue for longer than MAX_QUEUE_SECONDS is rejected.
