--- a/bench/plots.py
+++ b/bench/plots.py
@@ -33,7 +33,7 @@
 
 
 def plot(results: list[dict], picture: Path) -> None:
-    """Plot the series of all configurations and save the picture."""
+    """Plot the series of all configurations and save the image."""
     figure, axes = pyplot.subplots(
         len(ROWS),
         len(results),
--- a/stalltiller/protocol/http.py
+++ b/stalltiller/protocol/http.py
@@ -218,7 +218,7 @@
 
     def _skip_interim_response(self, head: Head) -> None:
         """Discard an interim response; on an error `head` stays set, because the target has responded."""
-        self._count_item(MAX_INTERIM_RESPONSES, "interim answers without end")
+        self._count_item(MAX_INTERIM_RESPONSES, "too many interim responses")
         if head.status == STATUS_SWITCHING_PROTOCOLS:
             raise HttpError(502, "unexpected status 101: no protocol switch was requested")
         self.head = None
--- a/stalltiller/routing/request_state.py
+++ b/stalltiller/routing/request_state.py
@@ -7,9 +7,8 @@
 from stalltiller.routing.ports import Attempt, ClientRequest
 from stalltiller.scheduling import AttemptStatus, DeduplicationScope, Idempotency, RequestClass
 
-NEVER_EXECUTED = frozenset(
-    {AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED}
-)  # statuses that prove that the target did not execute the request
+# Statuses that prove that the target did not execute the request.
+NEVER_EXECUTED = frozenset({AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED})
 
 
 class RequestOutcome(StrEnum):
--- a/stalltiller/transport/connection.py
+++ b/stalltiller/transport/connection.py
@@ -214,9 +214,8 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Implement `asyncio.BaseProtocol`."""
         self.transport = cast(asyncio.Transport, transport)  # a socket transport is bidirectional
-        self.transport.set_write_buffer_limits(
-            high=0
-        )  # call `pause_writing` as soon as any byte stays buffered
+        # Call `pause_writing` as soon as any byte stays buffered.
+        self.transport.set_write_buffer_limits(high=0)
         self.on_connected()
 
     def get_buffer(self, _sizehint: int) -> memoryview:
--- a/tests/decision_world.py
+++ b/tests/decision_world.py
@@ -67,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Scenario:
-    """Configuration of a world.  `expected_notes` must occur, or the scenario covers too little."""
+    """Configuration of a simulated fleet.  `expected_notes` must occur, or the scenario covers too little."""
 
     expected_notes: frozenset[str]
     settings: Settings
--- a/tests/fleet/rig.py
+++ b/tests/fleet/rig.py
@@ -358,9 +358,8 @@
             reads.append(asyncio.create_task(read(self[readers[number % len(readers)]].listen, number, 9)))
             await asyncio.sleep(1 / reads_per_second)
         background.cancel()
-        for status in await asyncio.gather(
-            *reads, return_exceptions=True
-        ):  # a killed member sends no response
+        # A killed member sends no response, so its reads end in exceptions.
+        for status in await asyncio.gather(*reads, return_exceptions=True):
             served += status == 200
         await asyncio.gather(*background_reads, return_exceptions=True)
         return served, warming
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -86,8 +86,8 @@
     for n in range(50):
         harness.handle(n * 0.01, request(n, volume=n, shard=n))
         harness.handle(n * 0.01 + 0.005, attempt_finished(n, target_id=n))
-    forgotten_at = 1.0 + scheduler.VOLUME_EXPIRY_SECONDS
-    harness.handle(forgotten_at, request(99, volume=99, shard=1))
+    expired_at = 1.0 + scheduler.VOLUME_EXPIRY_SECONDS
+    harness.handle(expired_at, request(99, volume=99, shard=1))
     assert set(harness.scheduler.volumes) == {99} and set(harness.scheduler.contention.requested_at) == {1}
     assert sum(len(target.allocations) for target in harness.scheduler.targets.values()) == 1
 
--- a/tests/test_contention.py
+++ b/tests/test_contention.py
@@ -38,20 +38,14 @@
     ("requests", "lower", "upper"),
     [
         ([], 0.0, 0.0),
-        (
-            [(9, 1, 1)],
-            0.9,
-            1.1,
-        ),  # only another shard: the mean shard is requested by one initiator in two hundred
+        # Only another shard: the mean shard is requested by one initiator in two hundred.
+        ([(9, 1, 1)], 0.9, 1.1),
         ([(1, 1, 1)], 1.2, 1.8),  # this shard, which may be busier than the mean
         ([(1, 1, 3)], 2.8, 3.8),  # this shard, and two more initiators of a busy volume
         ([(1, v, 1) for v in range(20)], 8.0, 12.0),  # many volumes request this shard
         ([(c, 1, 1) for c in range(1, 201)], 199.0, 199.0),  # every shard is requested
-        (
-            [(1, v, 3) for v in range(500)],
-            199.0,
-            199.0,
-        ),  # the estimate never exceeds the number of other initiators
+        # The estimate never exceeds the number of other initiators.
+        ([(1, v, 3) for v in range(500)], 199.0, 199.0),
     ],
 )
 def test_estimate_grows_with_volumes_and_their_initiators_up_to_all_other_initiators(requests, lower, upper):
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -142,11 +142,8 @@
     ("actions", "responses", "started_count"),
     [
         ((Fail(1), Reject(1, 0.0)), [("failed",)], 0),
-        (
-            (Reject(1, 99.0), Fail(1)),
-            [("refused", 1.5)],
-            0,
-        ),  # retry_after is limited to the settings' maximum
+        # retry_after is limited to the settings' maximum.
+        ((Reject(1, 99.0), Fail(1)), [("refused", 1.5)], 0),
         ((Fail(1), START), [("failed",)], 0),
         ((START, START), [], 1),  # a second attempt while one is in flight
         ((START, Reject(1, 0.0)), [("failed",)], 1),  # the target may be executing the attempt
@@ -351,11 +348,12 @@
 @pytest.mark.parametrize(
     ("status", "actions_for", "steps"),
     [
+        # The response ends the request before the attempt.
         (
             AttemptStatus.OK,
             on_request(START),
             ["request_received", "attempt_started", "request_finished", "attempt_finished"],
-        ),  # the response ends the request before the attempt
+        ),
         (
             AttemptStatus.ERROR,
             fail_after_attempt,
@@ -369,7 +367,7 @@
     async def scenario(engine, target_client):
         engine.submit(client_request(RecordingResponseHandler(), trace_label="9b1f03aa"))
         await run_batches()
-        engine.attempt_finished(target_client.started[0], AttemptResult(status, "answer"))
+        engine.attempt_finished(target_client.started[0], AttemptResult(status, "response"))
         await run_batches()
 
     run_scenario(scenario, actions_for, trace=lambda event, **details: lines.append((event, details)))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -58,11 +58,8 @@
         ([acquire("a"), release(1), acquire("b")], [1, 0, 3], "b"),
         ([acquire("a"), release(9), acquire("b")], [1, 0, 0], "a"),
         ([acquire("a"), expire(1), acquire("b"), renew(1)], [1, 0, 3, 0], "b"),
-        (
-            [acquire("a"), renew(1), expire(1), acquire("b")],
-            [1, 1, 0, 0],
-            "a",
-        ),  # found by the simulation: the leader proposed the expiry before it knew of the renewal
+        # Found by the simulation: the leader proposed the expiry before it knew of the renewal.
+        ([acquire("a"), renew(1), expire(1), acquire("b")], [1, 1, 0, 0], "a"),
         ([acquire("a"), renew(1), expire(1, renewal_index=2), acquire("b")], [1, 1, 0, 4], "b"),
         ([acquire("a", session="s", number=1)] * 2, [1, 1], "a"),  # a duplicate gets the same response
         ([acquire("a", session="s", number=2), release(1, session="s", number=1)], [1, 0], "a"),  # reordered
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -99,9 +99,10 @@
         assert await harness.call("PUT /_targets/attach", "s-0") == 200  # one call reverts both detach calls
         assert (await harness.read(tag=2)).outcome == "served"
         target_state = harness.app.engine._scheduler.targets["s-0"]
+        # The attached target is in slow start.
         assert target_state.target.started_at == pytest.approx(
             harness.app.engine.to_scheduler_time(time.time()), abs=5
-        )  # in slow start
+        )
 
     run_scenario(scenario, kind)
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -438,10 +438,8 @@
     """The duplicate crossed the next request on the connection and was taken for its response."""
 
     async def scenario(harness):
-        harness.app.target_client.pool._avoided_idle_range = (
-            0.0,
-            60.0,
-        )  # long enough for the second response on a slow machine
+        # Long enough for the second response on a slow machine.
+        harness.app.target_client.pool._avoided_idle_range = (0.0, 60.0)
 
         async def serve_twice(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -50,10 +50,8 @@
     ("changes", "expected"),
     [
         ([{"deduplication_window": 6.0}, {"deduplication_window": 1.5}], (1.5, DeduplicationScope.ALL)),
-        (
-            [{"deduplication_window": 1.5}, {"deduplication_window": 6.0}],
-            (1.5, DeduplicationScope.ALL),
-        ),  # clients and targets may still use the old settings
+        # Clients and targets may still use the old settings.
+        ([{"deduplication_window": 1.5}, {"deduplication_window": 6.0}], (1.5, DeduplicationScope.ALL)),
         (
             [
                 {"deduplication_scope": DeduplicationScope.ZONE},
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -221,9 +221,10 @@
     harness.handle(0.0, request(1))
     initial_limit = harness.scheduler.targets[1].concurrency_limit
     harness.handle(0.6, attempt_finished(1, status=AttemptStatus.TIMEOUT, latency=0.6))
+    # The limit becomes half of the one attempt in flight.
     assert (
         initial_limit == state.INITIAL_CONCURRENCY and harness.scheduler.targets[1].concurrency_limit == 0.5
-    )  # half of the one attempt in flight
+    )
 
 
 def test_a_limit_below_one_paces_requests_beyond_the_reservation():
