--- a/stalltiller/scheduling/scheduler.py
+++ b/stalltiller/scheduling/scheduler.py
@@ -7,7 +7,8 @@
 from stalltiller.scheduling.target_load import NEVER_EXECUTED, SLOW_RESPONSE_FRACTION, TargetLoad
 from stalltiller.scheduling.targets import Target, TargetId, TargetListKind, TargetListUpdate, TargetStatus
 
-SAME_KEY_WINDOW_SECONDS = 0.03  # after a send, requests for the same data may exceed the concurrency limit
+# The window starts with the first send for a key; later sends for the same key do not extend it.
+SAME_KEY_WINDOW_SECONDS = 0.03  # within it, requests for that key may exceed the concurrency limit
 LATE_ATTEMPT_GRACE_SECONDS = 0.05  # an attempt may stay in flight this long past its objective
 MIN_ATTEMPT_LATENCY_FACTOR = 3.0  # an attempt sent late gets at least this multiple of the mean latency
 LATENCY_EXPIRY_SECONDS = 0.5  # a high latency of a target without attempts for this long is discarded
--- a/stalltiller/transport/watch.py
+++ b/stalltiller/transport/watch.py
@@ -44,9 +44,9 @@
 
     Polls of the agent on the same machine are cheap, and a failed one is retried soon, because the time
     starts when the agent learns of the change, also after a discovery outage.  Discovery itself is polled by
-    the whole fleet: forty watches that polled every 2 s and retried within 1.5 s kept it overloaded for a
-    whole day.  Therefore a poll waits as long as the deadline allows, and a rejected one is retried after a
-    random backoff between zero and a bound that doubles (full jitter).
+    the whole fleet: forty watches that polled every 2 s and retried within 1.5 s kept it overloaded.
+    Therefore a poll waits as long as the deadline allows, and a rejected one is retried after a random
+    backoff between zero and a bound that doubles (full jitter).
 
     `jitter` is the fraction of a backoff that is random.
     """
